--- a/coordination/drains/drains.go
+++ b/coordination/drains/drains.go
@@ -1,10 +1,10 @@
-// Package drains keeps what one process knows of drained failure domains: those in which
-// operators want nothing newly started. Processes that read the store learn of drains
-// there; all others are told by those that they have links with. The records stand in one
-// partition of the store, so a State is ordered by how far that was read, and what a
-// process knows never goes back to an older one.
+// Package drains tracks which failure domains operators have drained, that is, in which no new
+// work may start. Processes that read the store learn of drains from it. All others learn of
+// them from their link peers. The records are kept in one partition of the store, so states are
+// ordered by the position up to which that partition was read, and a process never goes back to
+// an older state.
 //
-// Nothing here opens a socket or reads a clock: times are readings of the boot clock.
+// The package opens no sockets and reads no clock: times are readings of the boot clock.
 package drains
 
 import (
@@ -14,18 +14,17 @@
 	"time"
 )
 
-// Change is one record of the operators.
+// Change is one drain record: an operator drained a failure domain or ended its drain.
 type Change struct {
 	Domain  string
 	Drained bool
 }
 
-// State is what is in force at a position of the operators' records. It is never changed
-// once made.
+// State holds the drains in force at a position of the operators' records. It is immutable.
 type State struct {
-	// Position is how far the records were read; zero: nothing is known yet.
+	// Position is how far the records were read. Zero means that nothing is known yet.
 	Position int64
-	// Domains are the drained failure domains, sorted.
+	// Domains holds the drained failure domains, sorted.
 	Domains []string
 }
 
@@ -35,37 +34,37 @@
 	return found
 }
 
-// Book is what a process knows. It is safe for concurrent use.
+// Book holds the newest drain state that a process knows. It is safe for concurrent use.
 type Book struct {
 	mu sync.Mutex
 	// known is the newest state. Guarded by mu.
 	known State
-	// asOf is when the store confirmed last that there was none newer. Guarded by mu.
+	// asOf is when the store last confirmed that known is the newest state. Guarded by mu.
 	asOf time.Duration
 }
 
-// State returns the newest state that is known.
+// State returns the newest known state.
 func (b *Book) State() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.known
 }
 
-// Latest returns the newest state, and how long ago the store confirmed it.
+// Latest returns the newest known state and how long ago the store confirmed it.
 func (b *Book) Latest(now time.Duration) (State, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.known, now - b.asOf
 }
 
-// Told takes in a state that was confirmed so long ago, by the store or by another process.
-// It reports whether other domains are drained now.
+// Told merges a state that the store confirmed age ago; it comes from the store or from another
+// process. It reports whether the set of drained domains changed.
 func (b *Book) Told(now time.Duration, s State, age time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s.Position == 0 || s.Position < b.known.Position {
-		// Told by a process that has lost the store, an older state would have work go to
-		// a domain that is drained.
+		// A process that has lost the store may still send an older state. Accepting it
+		// would send work to a drained domain.
 		return false
 	}
 	b.asOf = max(b.asOf, now-max(age, 0))
@@ -77,13 +76,13 @@
 	return changed
 }
 
-// Reader follows the operators' records for a Book. One goroutine uses it.
+// Reader applies the operators' records to a Book. It is not safe for concurrent use.
 type Reader struct {
 	book    *Book
 	domains map[string]bool
 }
 
-// NewReader returns a reader that goes on where a book's state ends.
+// NewReader returns a Reader that continues from the book's state.
 func NewReader(b *Book) *Reader {
 	r := &Reader{book: b, domains: make(map[string]bool)}
 	for _, domain := range b.State().Domains {
@@ -92,11 +91,12 @@
 	return r
 }
 
-// Begin forgets what was read: the newest records follow. A drain may have ended while
-// nobody read, and no record of that is left.
+// Begin discards what was read, before the newest record of each domain is read again. A drain
+// may have ended while nothing was read, and the record of that may be gone from the store's
+// history.
 func (r *Reader) Begin() { clear(r.domains) }
 
-// Apply takes in a record.
+// Apply applies one record.
 func (r *Reader) Apply(c Change) {
 	if c.Drained {
 		r.domains[c.Domain] = true
@@ -105,8 +105,8 @@
 	delete(r.domains, c.Domain)
 }
 
-// Reached notes that the store has returned all records before a position. It reports
-// whether other domains are drained now.
+// Reached updates the book with the state at a position, once the store has returned all
+// records before it. It reports whether the set of drained domains changed.
 func (r *Reader) Reached(now time.Duration, position int64) bool {
 	return r.book.Told(now, State{Position: position, Domains: slices.Sorted(maps.Keys(r.domains))}, 0)
 }
--- a/coordination/drains/drains_test.go
+++ b/coordination/drains/drains_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against work that goes to a drained domain again because a process that has lost
-// the store still tells of the time before the drain.
+// A process that has lost the store may still send the state from before a drain. Accepting it
+// would send work to the drained domain again.
 func TestOlderStateChangesNothing(t *testing.T) {
 	is := is.New(t)
 	var b Book
@@ -19,8 +19,8 @@
 	is.True(!b.State().Has("iksan"))
 }
 
-// Guards against a state that passes for fresh because it was told again by a process that
-// has not heard from the store since.
+// A process that has lost the store keeps sending the state it knows. Its frames must not make
+// that state look recently confirmed by the store.
 func TestToldAgainIsNoConfirmation(t *testing.T) {
 	is := is.New(t)
 	var b Book
@@ -33,7 +33,7 @@
 	is.Equal(age, 500*time.Millisecond)
 }
 
-// Guards against a process that knows nothing ending drains that others know of.
+// A process that knows no state yet must not end drains that others know of.
 func TestNothingKnownEndsNoDrain(t *testing.T) {
 	is := is.New(t)
 	var b Book
@@ -42,8 +42,8 @@
 	is.True(b.State().Has("iksan"))
 }
 
-// Guards against a drain that never ends for a reader whose records of its end were dropped
-// from the store's history.
+// The record that ended a drain was dropped from the store's history before it was read. The
+// drain must end for this reader as well.
 func TestDrainThatEndedUnread(t *testing.T) {
 	is := is.New(t)
 	var b Book
@@ -58,7 +58,8 @@
 	is.Equal(b.State().Domains, []string{"gunsan"})
 }
 
-// Guards against a reader that lags behind what its process was told, and would undo it.
+// A reader lags behind a state that its process received from a peer. It must not overwrite the
+// newer state.
 func TestReaderBehindItsBook(t *testing.T) {
 	is := is.New(t)
 	var b Book
@@ -74,8 +75,8 @@
 	is.Equal(len(b.State().Domains), 0)
 }
 
-// A domain that is drained and taken back again and again in quick succession is as its
-// newest record says.
+// A domain is drained and undrained many times in quick succession. Its newest record decides
+// its state each time.
 func TestDrainsInQuickSuccession(t *testing.T) {
 	is := is.New(t)
 	var b Book
