--- a/coordination/subset/stretch_test.go
+++ b/coordination/subset/stretch_test.go
@@ -9,8 +9,9 @@
 
 func share(free float64) func() float64 { return func() float64 { return free } }
 
-// The agents of a subset are full, or don't take work, while the rest of the fleet has
-// room. Jobs that are refused have more of the fleet linked, until none is any more.
+// The agents of a subset are full or accept no work while the rest of the fleet has free
+// capacity. Refused jobs add links until no job is refused any more; the links are removed
+// afterwards.
 func TestFullSubsetGrowsWhileOthersHaveRoom(t *testing.T) {
 	is := is.New(t)
 	s := NewStretch(32)
@@ -24,13 +25,13 @@
 		is.True(extra > last || extra == 32)
 		last = extra
 	}
-	is.Equal(last, 32) // twice a subset at most
+	is.Equal(last, 32) // at most twice the subset
 	now += relax + stretchPace
 	is.Equal(s.Extra(now, share(0.5)), 0)
 }
 
-// The whole fleet is full. Links to more of it would only have more processes promise
-// the same room, so they are given up, and tried again after a pause.
+// When the whole fleet is full, more links only have more processes place work on the same free
+// cores. The added links are removed and tried again after a pause.
 func TestFullFleetIsNotLinkedMore(t *testing.T) {
 	is := is.New(t)
 	s := NewStretch(32)
--- a/coordination/subset/subset.go
+++ b/coordination/subset/subset.go
@@ -1,12 +1,13 @@
-// Package subset chooses which agents a process keeps links to. A process that links
-// all of them pays for each with memory, frames and processor time, and decides worse:
-// of many deciders with the same stale picture each picks the same agent.
+// Package subset chooses the agents that a process keeps links to. Links to all agents would
+// cost memory, frames and processor time, and would make placement worse: many placers with the
+// same stale view of the load each pick the same agent.
 //
-// The choice is a pure function of the agents and of the numbers that the process
-// holds. Numbers are dealt so that each is with one process at a time, and each agent
-// prefers them in an order of its own. So the processes that link one agent are spread
-// like a deck that was dealt, not like lots that were drawn, and a change of the agents
-// or of the numbers moves only the links that it concerns.
+// The choice is rendezvous hashing (highest random weight), a pure function of the agents and
+// of the hash buckets that the process holds. Each bucket is held by one process at a time, and
+// each agent ranks the buckets in its own pseudorandom order. Because the buckets are
+// distributed evenly, the processes that link an agent are spread more evenly than by
+// independent random choices, and a change of the agents or buckets moves only the links
+// concerned.
 package subset
 
 import (
@@ -15,34 +16,34 @@
 	"slices"
 )
 
-// Agent is what the choice depends on.
+// Agent holds the properties of an agent that the choice depends on.
 type Agent struct {
 	Name string
 	// Domain is the failure domain of its host.
 	Domain string
 }
 
-// Share is the part of the numbers from 0 to Of-1 that a process holds.
+// Share is the subset of the buckets 0 to Of-1 that a process holds.
 type Share struct {
 	Numbers []int
 	Of      int
 }
 
-// Numbers is how many numbers are enough: some more than there are processes that
-// choose, so that each holds one, and few enough that ranking an agent costs some
-// microseconds.
+// Numbers is the default number of hash buckets. It exceeds the number of processes that choose
+// agents, so that each holds at least one, and is small enough that ranking an agent takes only
+// some microseconds.
 const Numbers = 256
 
-// Guess is the share of a process that was dealt none: one number, drawn by its name.
-// Two processes may draw the same one, and an agent may be liked by few. That is
-// uneven and never wrong.
+// Guess returns the share of a process that holds no bucket yet: one bucket, chosen by the hash
+// of its name. Two processes may choose the same bucket, so that some agents get fewer links
+// than others. The links are uneven then, but still correct.
 func Guess(name string) Share {
 	return Share{Numbers: []int{int(hash(name) % Numbers)}, Of: Numbers}
 }
 
-// Order returns the names of the agents as a process with this share prefers them. Of
-// each failure domain any number of the first ones has its proportional part, to within
-// one, so that a lost domain takes the same part of each subset.
+// Order returns the names of the agents in the order in which a process with this share prefers
+// them. Any prefix contains each failure domain in proportion to its size, to within one agent,
+// so that the loss of a domain takes the same part of each subset.
 func Order(agents []Agent, share Share) []string {
 	byDomain := make(map[string][]ranked)
 	for _, a := range agents {
@@ -69,14 +70,14 @@
 	return out
 }
 
-// ranked is an agent with how much it prefers a process.
+// ranked is an agent with its preference for the process.
 type ranked struct {
 	name string
-	// rank counts the numbers that the agent prefers to the best of the process's.
+	// rank is the number of buckets that the agent prefers to the best one of the process.
 	rank int
-	// tie decides between equal ranks, differently for each number.
+	// tie orders agents of equal rank, differently for each bucket.
 	tie uint64
-	// place is where it stands in its failure domain, from 0 to 1.
+	// place is the agent's relative position in its failure domain, between 0 and 1.
 	place float64
 }
 
@@ -99,16 +100,17 @@
 	return r
 }
 
-// weight is how much an agent prefers a number: highest random weight.
+// weight returns how strongly an agent prefers a bucket, its rendezvous hash.
 func weight(seed uint64, number int) uint64 { return mix(seed ^ mix(uint64(number)+1)) }
 
 func hash(s string) uint64 {
 	h := fnv.New64a()
-	h.Write([]byte(s)) //nolint:errcheck // it never fails
+	h.Write([]byte(s)) //nolint:errcheck // hash.Hash.Write never returns an error
 	return mix(h.Sum64())
 }
 
-// mix is the finalizer of SplitMix64: each bit of the input changes half of the output.
+// mix is the SplitMix64 finalizer: a change of one input bit changes about half of the output
+// bits.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/coordination/subset/subset_test.go
+++ b/coordination/subset/subset_test.go
@@ -20,7 +20,7 @@
 	return out
 }
 
-// deal shares the numbers out as the store's groups do, evenly.
+// deal distributes the buckets evenly, as the store's groups do.
 func deal(processes int) []Share {
 	out := make([]Share, processes)
 	for n := range Numbers {
@@ -45,7 +45,7 @@
 	return order[:min(size, len(order))]
 }
 
-// degrees counts by how many processes each agent is linked.
+// degrees counts the processes that link each agent.
 func degrees(all []Agent, shares []Share) map[string]int {
 	out := make(map[string]int)
 	for _, s := range shares {
@@ -73,27 +73,27 @@
 	{3, 11, 3}, {4, 11, 4}, {8, 51, 4}, {13, 70, 3}, {35, 160, 5}, {216, 992, 4},
 }
 
-// An agent that no entry has in its subset stands idle while others are full, and
-// nobody notices. Dealt numbers leave none out at any size.
+// An agent that is in no entry's subset is idle while others are full, and nothing reports it.
+// Evenly distributed buckets leave no agent out at any fleet size.
 func TestEachAgentIsLinked(t *testing.T) {
 	is := is.New(t)
 	for _, f := range fleets {
 		all := agents(f.agents, f.domains)
 		least, most, dev := spread(all, degrees(all, deal(f.processes)))
 		gLeast, gMost, gDev := spread(all, degrees(all, guesses(f.processes)))
-		t.Logf("%d entries, %d agents: dealt %d to %d (deviation %.2f), drawn %d to %d (%.2f)", f.processes, f.agents, least, most, dev, gLeast, gMost, gDev)
+		t.Logf("%d entries, %d agents: links per agent %d to %d (deviation %.2f), with fallback shares %d to %d (%.2f)", f.processes, f.agents, least, most, dev, gLeast, gMost, gDev)
 		is.True(least >= min(f.processes, 2))
 		is.True(dev <= gDev)
 	}
 }
 
-// A fleet that is smaller than a subset is all of it.
+// A fleet that is smaller than a subset is linked completely.
 func TestSmallFleetIsLinkedWhole(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(choose(agents(11, 3), deal(3)[0])), 11)
 }
 
-// A failure domain is lost. Each process keeps the same part of its subset.
+// When a failure domain is lost, every process keeps the same part of its subset.
 func TestDomainsHaveTheirPartOfEachSubset(t *testing.T) {
 	is := is.New(t)
 	all := agents(160, 5)
@@ -109,7 +109,7 @@
 	}
 }
 
-// moved counts the links of the second choice that the first lacks.
+// moved counts the links in after that are not in before.
 func moved(before, after []string) int {
 	n := 0
 	for _, name := range after {
@@ -120,9 +120,9 @@
 	return n
 }
 
-// One agent is taken away, a rack of sixteen is lost, a process goes and its numbers
-// are dealt to the others. What is left moves little: each moved link is a connection
-// made and a picture begun anew.
+// An agent is removed, part of a failure domain is lost, and a process leaves so that its
+// buckets go to others. Few of the remaining links may move: each moved link costs a new
+// connection and starts without a known load.
 func TestChangesMoveTheirShare(t *testing.T) {
 	is := is.New(t)
 	all := agents(160, 5)
@@ -143,14 +143,14 @@
 		gone[i] = Share{Numbers: append(slices.Clone(gone[i].Numbers), n), Of: Numbers}
 	}
 	process := count(all, gone)
-	t.Logf("links moved: one agent of 160 gone %.3f, 12 of a domain of 32 gone %.3f, one process of 35 gone %.3f", one, rack, process)
+	t.Logf("fraction of links moved: one agent of 160 removed %.3f, 12 of a domain of 32 removed %.3f, one process of 35 removed %.3f", one, rack, process)
 	is.True(one < 0.02)
 	is.True(rack < 0.15)
 	is.True(process < 0.06)
 }
 
-// Random fleets, shares and sizes: an order names each agent once, and is the same
-// whichever way the agents were learnt of.
+// For random fleets and shares, the order names each agent once and does not depend on the
+// order in which the agents became known.
 func TestOrderIsAPureFunction(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
