--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -1,5 +1,5 @@
-// Package quota bounds what each operator may have at once. Time comes in as
-// now; nothing here reads a clock. A table is safe for concurrent use.
+// Package quota limits the tasks that each operator may have in flight and may submit per
+// second. Times are passed in as now, and no clock is read.
 package quota
 
 import (
@@ -9,16 +9,16 @@
 	"github.com/shallotstep/shallotstep/state/sliding"
 )
 
-// Limits are an operator's quota, as declared.
+// Limits is an operator's quota as declared, over all entries.
 type Limits struct {
-	// InFlight is how many accepted tasks may be unanswered.
+	// InFlight is the maximum number of accepted tasks without an answer.
 	InFlight int
-	// PerSecond is how many tasks are accepted per second.
+	// PerSecond is the maximum number of tasks accepted per second.
 	PerSecond int
 }
 
-// Table holds what the operators use at one entry. Several entries each have a
-// part of every quota.
+// Table tracks the usage of each operator at one entry. Each entry enforces an equal part of
+// every quota. It is safe for concurrent use.
 type Table struct {
 	entries int
 
@@ -26,25 +26,26 @@
 	usage map[string]*usage // guarded by mu
 }
 
-// usage is one operator's. Guarded by Table.mu.
+// usage is the usage of one operator. Guarded by Table.mu.
 type usage struct {
 	inFlight int
-	// tokens are tasks that may be accepted now. A job is accepted whole when
-	// there is any, and takes them below zero: a job larger than a second's
-	// tasks would otherwise never be accepted.
+	// tokens is the number of tasks that may be accepted now. A job is accepted as a whole while
+	// any token is left and may make the balance negative; otherwise a job with more tasks than
+	// one second's quota would never be accepted.
 	tokens float64
 	filled time.Duration
-	// recent are the tasks accepted within the last second. With the tokens alone the end
-	// of a pause would let two seconds' tasks pass within one.
+	// recent counts the tasks accepted within the last second. The tokens alone would allow twice
+	// the quota within one second at the end of a pause.
 	recent sliding.Window
 }
 
-// New returns the table of one of a number of entries.
+// New returns the Table of one entry out of the given number of entries.
 func New(entries int) *Table {
 	return &Table{entries: max(1, entries), usage: make(map[string]*usage)}
 }
 
-// Take books tasks, or says in how long there may be room for them again.
+// Take charges tasks to an operator. If a limit is exceeded, it charges nothing and returns
+// false and the time after which to try again.
 func (t *Table) Take(now time.Duration, operator string, l Limits, tasks int) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -58,7 +59,8 @@
 	if u.tokens <= 0 {
 		return time.Duration((1 - u.tokens) / rate * float64(time.Second)), false
 	}
-	// A job that is larger than a second's tasks fits into none, and is paid off.
+	// A job larger than one second's quota fits into no second. It is accepted, and the negative
+	// token balance delays the jobs after it.
 	if most := int(rate) - tasks; most >= 0 && u.recent.Sum(now) > most {
 		return u.recent.Wait(now, most), false
 	}
@@ -71,14 +73,14 @@
 	return 0, true
 }
 
-// fill adds what has become free; a second's tasks are kept at most.
+// fill adds the tokens earned since the last call, up to one second's quota.
 func (u *usage) fill(now time.Duration, rate float64) {
 	u.tokens = min(rate, u.tokens+(now-u.filled).Seconds()*rate)
 	u.filled = now
 }
 
-// Refund takes back what Take has booked for tasks that turned out to be known: a
-// repeat takes nothing from a quota.
+// Refund reverses a Take for a submission of a job that was already known: a resubmission is
+// not charged to the quota.
 func (t *Table) Refund(operator string, tasks int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,7 +91,7 @@
 	}
 }
 
-// Release returns tasks that were answered.
+// Release returns tasks that have been answered.
 func (t *Table) Release(operator string, tasks int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A job of 1,000 tasks comes in under a quota of 400 a second. It is accepted,
-// and the next one is told truly when to come back: not before the first is
-// paid for, and not much later.
+// A job of 1,000 tasks is submitted under a quota of 400 per second and is accepted. The next
+// job gets an accurate retry delay: not before the first job's tokens are earned back, and not
+// much later.
 func TestLargeJobIsPaidOff(t *testing.T) {
 	is := is.New(t)
 	q := New(1)
@@ -25,8 +25,8 @@
 	is.True(ok)
 }
 
-// Over a minute of asking all the time an operator gets its rate and a second's
-// tasks more, at one entry as at four; another operator is not touched by it.
+// An operator that submits without pause for a minute gets its rate plus one second's quota,
+// with one entry as with four. Other operators are not affected.
 func TestRateHoldsOverAMinute(t *testing.T) {
 	for _, entries := range []int{1, 4} {
 		is := is.New(t)
@@ -53,14 +53,14 @@
 	_, ok := q.Take(0, "haneul", l, 10)
 	is.True(ok)
 	_, ok = q.Take(0, "haneul", l, 1)
-	is.True(!ok) // the other entry has the other half
+	is.True(!ok) // the other entry enforces the other half
 	q.Release("haneul", 10)
 	_, ok = q.Take(0, "haneul", l, 1)
 	is.True(ok)
 }
 
-// Guards against two seconds' tasks within one second after a pause: whichever second is
-// looked at, an operator gets no more than its tasks of one.
+// After a pause, twice the quota must not be accepted within one second: no one-second window
+// holds more tasks than the quota.
 func TestRateHoldsInAnySecond(t *testing.T) {
 	is := is.New(t)
 	q := New(1)
@@ -83,7 +83,7 @@
 	is.True(len(accepted)*5 >= 500)
 }
 
-// Guards against a caller that is told to come back when there is still no room.
+// A caller that retries after the returned delay must be accepted.
 func TestWaitForTheSlidingSecondIsTrue(t *testing.T) {
 	is := is.New(t)
 	q := New(1)
