--- a/coordination/owner/admission_test.go
+++ b/coordination/owner/admission_test.go
@@ -11,7 +11,7 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// effort is a best-effort shard with one agent, whose room the tests set.
+// effort is a fixture with a shard of best-effort jobs and one agent whose load the tests set.
 type effort struct {
 	*fixture
 	got map[job.ID]*Verdict
@@ -25,7 +25,8 @@
 	return &effort{fixture: f, got: make(map[job.ID]*Verdict)}
 }
 
-// room has the agent say what is free, in tasks of one core, and what waits.
+// room reports the agent's load to the shard: its free cores and its backlog, the time of one
+// core for the tasks that wait there.
 func (e *effort) room(free int, backlog time.Duration) {
 	l := AgentLoad{
 		Service: "desk", Capacity: job.Demand{CPUMillis: 16000, MemoryMB: 65536}, Accepts: true, Backlog: backlog, Placers: 1,
@@ -41,8 +42,8 @@
 	e.take(e.News(e.now))
 }
 
-// send submits a job of one-core tasks of 100 ms: its objective is 220 ms, and an
-// answer is of use for 660 ms.
+// send submits a job of one-core tasks of 100 ms. Its latency objective is 220 ms, and its
+// answer is useful for 660 ms.
 func (e *effort) send(id job.ID, tasks int, patience time.Duration) *Verdict {
 	spec := job.Spec{BestEffort: true, Patience: patience, Steps: []job.Step{{
 		Count: tasks, Demand: job.Demand{CPUMillis: 1000}, Estimate: 100 * time.Millisecond,
@@ -64,9 +65,9 @@
 	return n
 }
 
-// The workers are full for 200 ms, so a job would end 80 ms after its objective. Its
-// client waits for 1.5 s and gets a fifth of the worth for a late answer, and nothing
-// for a refusal: it is accepted, and runs as soon as there is room.
+// The workers are full for 200 ms, so a job would end 80 ms after its objective. Its client
+// waits up to 1.5 s, and a late answer is worth a fifth of one in time, a refusal nothing. The
+// job is accepted and runs as soon as a core is free.
 func TestLateIsBetterThanNever(t *testing.T) {
 	e := newEffort(t)
 	e.room(0, 3200*time.Millisecond)
@@ -77,8 +78,8 @@
 	e.is.Equal(e.ordered("late"), 1)
 }
 
-// The workers are full for longer than a late answer is of use. The client is told at
-// once: held, it could not go elsewhere.
+// The workers are full for longer than a late answer is useful. The job is refused at once, so
+// that its client can go elsewhere.
 func TestJobThatCannotBeOfUseIsRefusedAtOnce(t *testing.T) {
 	e := newEffort(t)
 	e.room(0, 16*700*time.Millisecond)
@@ -88,8 +89,8 @@
 	e.is.True(got.RetryAfter > 0)
 }
 
-// A late job waits when one comes that can still be in time. Room for one task goes to
-// the second: the first gets what is left.
+// A late job waits when a job arrives that can still meet its objective. The first free core
+// goes to the second job, and the late job gets what is left.
 func TestLateJobsYield(t *testing.T) {
 	e := newEffort(t)
 	e.room(0, 3200*time.Millisecond)
@@ -103,8 +104,8 @@
 	e.is.Equal(e.ordered("late"), 1)
 }
 
-// A late job got no room for as long as its answer was of use. Nothing of it has
-// started, so that it has not run is true, and its client is told then.
+// No core becomes free for a late job while its answer is useful. None of its tasks has
+// started, so it can truthfully be refused, and its client is told at that point.
 func TestLateJobWithoutRoomIsGivenUpInTime(t *testing.T) {
 	e := newEffort(t)
 	e.room(0, 3200*time.Millisecond)
@@ -116,8 +117,8 @@
 	e.is.Equal(e.Lookup("late").Outcome, Absent)
 }
 
-// One task of a job has been ordered when the others find no room in time. "Not run"
-// would be false, so the job goes on and is answered late.
+// One task of a job has been ordered when the others find no free capacity in time. A refusal
+// would claim that the job did not run, so the job goes on and is answered late.
 func TestJobThatHasBegunIsNotRefused(t *testing.T) {
 	e := newEffort(t)
 	e.room(1, 0)
@@ -130,8 +131,8 @@
 	e.is.Equal(e.ordered("begun"), 3)
 }
 
-// Tasks that were bound to a worker at once waited there for 200 ms while another had
-// room. They stay with their owner, and go to the worker that has room first.
+// Tasks that were assigned to a worker at once waited there for 200 ms while another worker had
+// free capacity. They stay queued at their owner and go to the first worker with free capacity.
 func TestTaskGoesWhereThereIsRoomFirst(t *testing.T) {
 	e := newEffort(t)
 	e.link("b", 1)
@@ -148,9 +149,9 @@
 	e.is.Equal(e.orders[0].Node, "b")
 }
 
-// An entry has just started and has no link yet. Its first jobs wait for the links,
-// which come up within 0.3 s; refused, they would be lost to callers who could have
-// been served. Where no worker comes they are refused when that is known.
+// An entry has just started and has no links yet. They come up within 0.3 s, so its first jobs
+// wait for them instead of being refused although workers could serve them. If no worker
+// appears, the jobs are refused once the time for links is over.
 func TestFirstJobsWaitForTheLinks(t *testing.T) {
 	e := newEffort(t)
 	e.Shard = NewPrivate(e.now, 100, testBounds, e.fleet)
@@ -169,19 +170,20 @@
 	e.take(e.Tick(e.now))
 	e.is.Equal(lost.Outcome, Refused)
 	e.is.Equal(lost.Reason, ReasonNoWorker)
-	e.is.Equal(e.send("later", 1, 0).Reason, ReasonNoWorker) // at once
+	e.is.Equal(e.send("later", 1, 0).Reason, ReasonNoWorker) // refused at once
 }
 
-// All backend servers shrink while a job waits that fitted when it was accepted. It waits
-// its time, since they may grow again, and is then refused, which is true; one that comes
-// now is refused at once. When one grows, what waits goes there with its news.
+// All backend servers shrink while a job waits that fitted when it was accepted. The job waits
+// until its time is over, since the servers may grow again, and is refused then; it has not
+// run. A job that arrives meanwhile is refused at once. When a server grows, the waiting job
+// goes there with the next load report.
 func TestJobThatFitsNowhereAnyMoreWaitsItsTime(t *testing.T) {
 	e := newEffort(t)
 	load := AgentLoad{Service: "desk", Capacity: job.Demand{CPUMillis: 1600, MemoryMB: 65536}, Accepts: true}
 	e.fleet.Update(e.now, "a", load)
 	first := e.send("first", 1, 0)
 	second := e.send("second", 1, 0)
-	e.is.Equal(first.Outcome, Unknown) // both wait for room
+	e.is.Equal(first.Outcome, Unknown) // both wait for free capacity
 	e.is.Equal(second.Outcome, Unknown)
 
 	shrunk := load
@@ -204,10 +206,10 @@
 	e.is.Equal(e.ordered("second"), 0)
 }
 
-// After a loss of power half of the submissions are repeats of jobs whose first try was
-// cut off. By what their clients still wait they have waited for over a second, and no
-// answer is of use to most. Where there is no room they don't take that of new jobs;
-// where there is, they are carried out.
+// After a power loss half of the submissions are retries of jobs whose first attempt was cut
+// off. The patience that they name shows that their clients have waited for over a second, so
+// that most answers come too late to be useful. Such retries must not take capacity from new
+// jobs when there is none to spare, and run when there is.
 func TestRepeatsThatHaveWaitedYield(t *testing.T) {
 	e := newEffort(t)
 	e.room(16, 0)
@@ -221,8 +223,8 @@
 	e.is.Equal(e.send("new", 1, 2*time.Second).Outcome, Unknown)
 }
 
-// The clients of a queue wait for 0.6 s at most, whatever their route says. They have not
-// waited because they name less than that.
+// The clients of a queue wait at most 0.6 s, less than the time limit of their route. Such a
+// short patience must not be taken as the remaining patience of a retry.
 func TestImpatientClientsAreNoRepeats(t *testing.T) {
 	is := is.New(t)
 	var l patienceLog
@@ -237,9 +239,9 @@
 	is.Equal(l.waited(1600*time.Millisecond, 1500*time.Millisecond), time.Duration(0))
 }
 
-// An owner's queue has tasks of late jobs and of others; they leave in the order of
-// their need, and those of late jobs last. No task is passed over for good: what came
-// first goes first among equals.
+// An owner's backlog holds tasks of late jobs and of jobs in time. Tasks leave in the order of
+// their latest start, those of late jobs last, and in order of arrival among equals, so that no
+// task is starved.
 func TestBacklogOrder(t *testing.T) {
 	is := is.New(t)
 	var b backlog
@@ -260,8 +262,7 @@
 	is.Equal(len(b.places), 0)
 }
 
-// Some of the waiting tasks leave, and a look ends before the last: the others stay in
-// their order.
+// Some waiting tasks leave, and filtering stops before the end. The others keep their order.
 func TestBacklogKeepsWhatStays(t *testing.T) {
 	is := is.New(t)
 	var b backlog
@@ -285,8 +286,8 @@
 	is.Equal(b.places, map[placeKey]int{{service: "0"}: 1, {service: "1"}: 3})
 }
 
-// Nothing of late work has left for a second while it waited, so nothing more is
-// accepted to be late. Once none waits, the room for it is taken to be as before.
+// No late task has left the backlog for a second, so the estimated wait grows and no more late
+// jobs are accepted. Once none waits, the estimate returns to its prior.
 func TestRoomForLateWorkIsMeasured(t *testing.T) {
 	is := is.New(t)
 	var b backlog
@@ -301,8 +302,8 @@
 	is.True(b.yieldWait(time.Second) < 101*time.Millisecond)
 }
 
-// A client sends a job twice; only the second answer says that the job was known, so
-// that the repeat is not charged to its operator.
+// A client submits a job twice. Only the second answer says that the job was already known, so
+// that the resubmission is not charged to the operator's quota.
 func TestSecondSubmissionIsKnown(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	first, second := f.submit(testID, steps(1)), f.submit(testID, steps(1))
@@ -311,9 +312,10 @@
 	f.is.True((*second)[0].Known)
 }
 
-// A job of many steps fills a worker. Each task that ends has the idle ones looked at; those
-// that wait stand in the backlog once. Counted again with each end, they kept the owner so
-// busy that its links fell silent, and callers were told that their job was cut off.
+// A job of many steps fills a worker. Each task that ends triggers a check of the idle tasks,
+// and a waiting task must stay in the backlog only once. Tasks that were added again with each
+// end kept the owner so busy that its links went silent and callers were told that their jobs
+// were cut off.
 func TestTaskWaitsOnce(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	f.fleet.Update(f.now, "a", AgentLoad{
@@ -332,9 +334,9 @@
 	f.is.True(len(f.waiting.tasks) <= 5)
 }
 
-// A worker hands an order back because another owner's task took its room. Nothing is wrong
-// with that worker: avoided from then on, it would stand idle for this task, which goes
-// back there as soon as it has room again.
+// A worker returns an order because another owner's task took its capacity. The worker is
+// healthy, so it must not be avoided afterwards: the task goes back there once capacity is free
+// again.
 func TestReturnedOrderGoesWhereRoomIsNext(t *testing.T) {
 	e := newEffort(t)
 	e.link("b", 1)
@@ -347,15 +349,16 @@
 	e.take(e.Event(e.now, first.Node, worker.Event{Shard: e.ID, Epoch: e.Epoch, State: worker.RunState{
 		Run: first.What.Run, Status: worker.Ended, End: job.NeverRan, Reason: worker.ReasonNoRoom,
 	}}))
-	e.is.Equal(e.ordered("returned"), 1) // it waits here
+	e.is.Equal(e.ordered("returned"), 1) // it waits at the owner
 	e.room(4, 0)
 	e.is.Equal(e.ordered("returned"), 2)
 	e.is.True(e.orders[len(e.orders)-1].What.Run.Number > first.What.Run.Number)
 }
 
-// A job of eight tasks comes while 32 workers are full with six tasks each, of which one
-// ends each 58 ms: together they free room each 2 ms. Judged by when a single one has room
-// the job was refused, though its tasks go to whichever has room first.
+// A job of eight tasks arrives while each of 32 workers is full with six tasks, one of which
+// ends every 58 ms, so that together they free capacity every 2 ms. A prediction from the
+// turnover of a single worker refused the job, although its tasks go to whichever worker frees
+// capacity first.
 func TestWideJobIsJudgedByTheTurnoverOfAll(t *testing.T) {
 	is := is.New(t)
 	const turnover = 58 * time.Millisecond
--- a/coordination/owner/bench_test.go
+++ b/coordination/owner/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// fullFleet returns a shard of best-effort jobs with links to so many agents, all of them
-// full, and with so many jobs of eight tasks that wait.
+// fullFleet returns a shard of best-effort jobs with links to the given number of agents, all
+// of them full, and the given number of waiting jobs of eight tasks each.
 func fullFleet(agents, jobs int) (*Shard, *Fleet, time.Duration) {
 	now := time.Hour
 	f := NewFleet(1, DefaultParams())
@@ -36,11 +36,11 @@
 	return s, f, now
 }
 
-// A burst fills all agents, and a hundred jobs of an entry wait. Each frame of each agent
-// had the entry look for a place for every task that waits, some hundred times a second:
+// A burst fills all agents, and a hundred jobs of an entry wait. Some hundred times a second,
+// each frame of each agent made the entry look for a place for every waiting task, which was
 // more than its processor could do. It fell behind its frames, and more jobs waited, were
-// refused or came late until the end of the day, beside entries with none waiting. A frame
-// costs one look at the agents, however many tasks wait for the same place.
+// refused or ended late, beside entries with none waiting, and it did not recover. A frame must
+// cost one look at the agents, however many tasks wait for the same kind of place.
 func TestNewsCostsTheSameHoweverManyWait(t *testing.T) {
 	is := is.New(t)
 	const agents = 38
@@ -50,7 +50,8 @@
 	is.Equal(f.Looks()-before, int64(agents))
 }
 
-// What an entry does with each frame of an agent while all agents are full.
+// BenchmarkNewsWhileFull measures the cost of an agent's frame at an entry while all agents are
+// full.
 func BenchmarkNewsWhileFull(b *testing.B) {
 	for _, jobs := range []int{1, 30, 100} {
 		b.Run(fmt.Sprintf("%d jobs wait", jobs), func(b *testing.B) {
@@ -63,7 +64,7 @@
 	}
 }
 
-// What it does with each submission then.
+// BenchmarkSubmitWhileFull measures the cost of a submission while all agents are full.
 func BenchmarkSubmitWhileFull(b *testing.B) {
 	for _, jobs := range []int{1, 30, 100} {
 		b.Run(fmt.Sprintf("%d jobs wait", jobs), func(b *testing.B) {
--- a/coordination/owner/crash_test.go
+++ b/coordination/owner/crash_test.go
@@ -11,41 +11,41 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// newCrashFixture returns a shard with links to a few agents.
+// newCrashFixture returns a shard with links to five agents.
 func newCrashFixture(t *testing.T, records ...*job.Record) *fixture {
 	t.Helper()
 	return newFixture(t, records, nil, "a", "b", "c", "d", "e")
 }
 
-// last is the order that was sent last.
+// last returns the most recent order.
 func (f *fixture) last() Placed[worker.Order] { return f.orders[len(f.orders)-1] }
 
-// lost is what an agent tells of an order's run that was lost with its backend server,
-// with so many runs on it.
+// lost returns the state in which an agent reports that an order's run was lost with its
+// backend server while the given number of runs was on that server.
 func lost(o Placed[worker.Order], suspects int, what worker.Loss) worker.RunState {
 	return worker.RunState{
 		Run: o.What.Run, Status: worker.Ended, End: job.Lapsed, Loss: what, Instance: "i-" + o.Node, Suspects: suspects,
 	}
 }
 
-// tell has the shard hear of a run.
+// tell delivers the state of a run to the shard.
 func (f *fixture) tell(o Placed[worker.Order], s worker.RunState) {
 	f.take(f.Event(f.now, o.Node, worker.Event{Shard: f.ID, Epoch: f.Epoch, State: s}))
 }
 
-// lose tells that a run was lost with its server, and has what is due written.
+// lose reports that a run was lost with its server, and writes the pending records.
 func (f *fixture) lose(o Placed[worker.Order], suspects int, what worker.Loss) {
 	f.tell(o, lost(o, suspects, what))
 	f.now += 200 * time.Millisecond
 	f.write()
 }
 
-// explain tells what became of that server.
+// explain reports what became of the lost server.
 func (f *fixture) explain(o Placed[worker.Order], what worker.Loss) {
 	f.tell(o, worker.RunState{Run: o.What.Run, Status: worker.LossNews, Loss: what, Instance: "i-" + o.Node})
 }
 
-// pass lets time pass and what is due be written.
+// pass advances the clock in ticks of 50 ms and writes the pending records.
 func (f *fixture) pass(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += 50 * time.Millisecond {
 		f.take(f.Tick(f.now))
@@ -60,9 +60,9 @@
 	return f.last()
 }
 
-// A task crashes each backend server that starts it, and each of them has others on it.
-// Its third start is alone, on an agent that it has not been to, and takes the third
-// server down; the task is not started again, and its job is shown as failed.
+// A task crashes each backend server that starts it, and other tasks run there as well. Its
+// third start is alone on an agent where it has not run yet and crashes the third server. The
+// task is not started again, and its job is reported as failed.
 func TestTaskUnderThreeCrashesIsGivenUp(t *testing.T) {
 	f := newCrashFixture(t)
 	cautions := []worker.Caution{worker.NoCaution, worker.Apart, worker.Alone}
@@ -82,7 +82,8 @@
 	f.is.Equal(v.Failure, FailureCrashed)
 }
 
-// The second server that is lost has nothing else on it: nobody else can have done it.
+// The second lost server ran nothing but the task, so only the task can have crashed it. The
+// task is given up.
 func TestOnlySuspectOfTheSecondCrashIsGivenUp(t *testing.T) {
 	f := newCrashFixture(t)
 	f.lose(f.begin(), 9, worker.LossConfirmed)
@@ -91,8 +92,8 @@
 	f.is.Equal(len(f.orders), 2)
 }
 
-// Servers are cut off, or lose their leases, under the same task three times, and come
-// back as the same instances. Taken for crashes they would fail a job that can be done.
+// Servers are cut off, or lose their leases, three times under the same task and come back as
+// the same instances. Counted as crashes, these losses would fail a job that can be completed.
 func TestServersThatComeBackRaiseNoSuspicion(t *testing.T) {
 	f := newCrashFixture(t)
 	o := f.begin()
@@ -101,7 +102,7 @@
 		f.explain(o, worker.LossCleared)
 		f.write()
 		o = f.last()
-		f.is.Equal(o.What.Caution, worker.Apart) // it was not known yet
+		f.is.Equal(o.What.Caution, worker.Apart) // the outcome was not known when the order was sent
 		f.is.Equal(len(f.jobs[testID].rec.Tasks[0].Crashes), 0)
 	}
 	f.event(o, worker.Ended, job.Done)
@@ -109,8 +110,9 @@
 	f.is.Equal(f.Lookup(testID).State, job.Completed)
 }
 
-// A task has run beside one that crashes its servers, twice, and ends at its third start.
-// It was innocent: those losses are forgotten, also for a failure later.
+// A task ran twice beside another one that crashed its servers, and its third run ends. The
+// task did not cause the crashes: those losses are forgotten and do not count towards a later
+// loss.
 func TestNeighbourIsAcquittedWhenItEnds(t *testing.T) {
 	f := newCrashFixture(t)
 	f.lose(f.begin(), 5, worker.LossConfirmed)
@@ -119,21 +121,21 @@
 	f.write()
 	f.is.Equal(f.last().What.Caution, worker.NoCaution)
 	f.lose(f.last(), 1, worker.LossConfirmed)
-	f.is.Equal(f.Lookup(testID).State, job.Queued+1) // it goes on
+	f.is.Equal(f.Lookup(testID).State, job.Queued+1) // the job goes on
 	f.event(f.last(), worker.Ended, job.Done)
 	f.write()
 	f.is.Equal(f.Lookup(testID).State, job.Completed)
 }
 
-// Two tasks are lost with one server, and one of them takes another down by itself. The
-// other is acquitted of the first, and runs beside anybody.
+// Two tasks are lost with one server, and one of them then crashes another server on its own.
+// The other task is cleared of the first crash and may run beside any task again.
 func TestNeighbourOfACrasherIsAcquitted(t *testing.T) {
 	f := newCrashFixture(t)
 	crasher := f.begin()
 	f.submit("00000000000000bb", steps(1))
 	f.write()
 	neighbour := f.last()
-	neighbour.Node = crasher.Node // both were there
+	neighbour.Node = crasher.Node // both ran on the same server
 	f.jobs["00000000000000bb"].tasks[0].node = crasher.Node
 	f.lose(crasher, 2, worker.LossConfirmed)
 	second := f.last()
@@ -145,8 +147,8 @@
 	f.is.Equal(len(f.jobs["00000000000000bb"].rec.Tasks[0].Crashes), 0)
 }
 
-// A rack is lost, and in it the second server under a task that was alone there: others
-// were lost at the same moment, so the task is tried once more.
+// A rack is lost, and with it the second server under a task that ran alone there. Other
+// servers were lost at the same moment, so the task is not blamed and is tried once more.
 func TestRackThatIsLostGivesUpNoTask(t *testing.T) {
 	f := newCrashFixture(t)
 	f.lose(f.begin(), 4, worker.LossConfirmed)
@@ -158,9 +160,9 @@
 	f.is.Equal(f.last().What.Caution, worker.Alone)
 }
 
-// An owner dies after two servers were lost under a task. The next one finds that in the
-// job's record, starts it alone, and gives it up after the third: a takeover gives no task
-// more starts.
+// An owner dies after two servers were lost under a task. The next owner finds the crashes in
+// the job's record, starts the task alone and gives it up after the third loss: a takeover must
+// not give a task more starts.
 func TestCrashesOutliveTheirOwner(t *testing.T) {
 	f := newCrashFixture(t)
 	f.lose(f.begin(), 4, worker.LossConfirmed)
@@ -177,8 +179,9 @@
 	next.is.Equal(len(next.orders), 1)
 }
 
-// The store takes no writes when the second server is lost under a task. It is not started
-// again before that is recorded: an owner that takes over would know nothing of it.
+// The store accepts no writes when the second server is lost under a task. The task must not
+// start again before the crash is recorded, since an owner that takes over would not know of
+// it.
 func TestSuspectWaitsForItsRecord(t *testing.T) {
 	f := newCrashFixture(t)
 	f.lose(f.begin(), 4, worker.LossConfirmed)
@@ -190,8 +193,9 @@
 	f.is.Equal(len(f.orders), 3)
 }
 
-// Nobody hears what became of the servers that were lost under a task, since their agents
-// were lost too. It is started once more after the third, and then waits.
+// The agents of the servers that were lost under a task are lost too, so no owner learns
+// whether the servers crashed. The task is started once more after the third loss, and then
+// waits.
 func TestUnexplainedLossesHoldATaskBack(t *testing.T) {
 	f := newCrashFixture(t)
 	o := f.begin()
@@ -205,12 +209,12 @@
 	f.pass(5 * time.Second)
 	f.is.Equal(len(f.orders), 4)
 	f.pass(6 * time.Second)
-	f.is.Equal(len(f.orders), 5) // it is as if nothing had been
+	f.is.Equal(len(f.orders), 5) // the last loss has been forgotten
 	f.is.Equal(f.last().What.Caution, worker.NoCaution)
 }
 
-// A job of many tasks has one that crashes its servers. As long as it may be
-// innocent the others go on; once it is given up their runs are stopped.
+// One task of a wide job crashes its servers. The other tasks go on as long as it may be
+// innocent. Once it is given up, their runs are stopped.
 func TestOthersOfAWideJobGoOnUntilItIsCertain(t *testing.T) {
 	is := is.New(t)
 	f := newCrashFixture(t)
@@ -227,6 +231,7 @@
 	is.True(len(f.stops) > 0)
 }
 
+// lastOfTask returns the most recent order of a task.
 func (f *fixture) lastOfTask(index int) Placed[worker.Order] {
 	for i := len(f.orders) - 1; ; i-- {
 		if f.orders[i].What.Run.Task.Index == index {
@@ -235,9 +240,9 @@
 	}
 }
 
-// The news that a server was lost is lost with its link. The next link's claim is answered
-// with it; taken for a run that just isn't there, the task was started as if nothing had
-// been, and took another server down for each lost link.
+// The report of a lost server is lost with its link. The answer to the next link's claim
+// repeats it. If the run was taken as merely missing, the task was started without caution and
+// crashed another server for each lost link.
 func TestLossIsHeardWithTheNextLink(t *testing.T) {
 	f := newCrashFixture(t)
 	f.lose(f.begin(), 4, worker.LossConfirmed)
@@ -252,9 +257,10 @@
 	f.is.Equal(f.last().What.Caution, worker.Alone)
 }
 
-// A task is acquitted of one server while another run of it is at work, and that run is lost
-// with its server too, whose news goes with the link. It counts: the acquittal was of the
-// earlier run. Passed over, a task that crashes its servers had one more start for each.
+// A task is cleared of one crash while another run of it is active. That run is lost with its
+// server too, and the report of this is lost with the link. The second loss must count, since
+// the task was cleared of the earlier run only; otherwise a task that crashes its servers gets
+// an additional start for each.
 func TestAcquittalIsOfEarlierRunsOnly(t *testing.T) {
 	f := newCrashFixture(t)
 	first := f.begin()
@@ -274,8 +280,9 @@
 	f.is.Equal(len(f.jobs[testID].rec.Tasks[0].Crashes), 1)
 }
 
-// Of two servers that were lost under a task, one is back as the same instance, and another
-// is lost. The record has two, but not the last: the task waits for that too.
+// Of two servers that were lost under a task, one comes back as the same instance, and then a
+// third one is lost. The record holds two crashes at that point, but not the last one: the task
+// waits for the record of that one too.
 func TestSuspectWaitsForItsLastCrash(t *testing.T) {
 	f := newCrashFixture(t)
 	first := f.begin()
@@ -289,8 +296,8 @@
 	f.is.Equal(len(f.orders), 4)
 }
 
-// Every agent without another suspect is full, so that a suspect waits for room. Tasks that
-// may go anywhere go to the room that is there: behind the suspect they waited for it.
+// Every agent without another suspect is full, so that a suspect waits for capacity. Tasks that
+// may run anywhere must not queue behind it but go to the free agent.
 func TestWaitingSuspectHoldsNobodyUp(t *testing.T) {
 	f := newFixture(t, nil, nil, "a", "b")
 	crashed := f.begin()
@@ -306,7 +313,7 @@
 	}
 	f.fleet.Update(f.now, full, busy)
 	f.fleet.Update(f.now, free, AgentLoad{Service: "desk", Capacity: capacity, Free: capacity, Accepts: true, Suspects: 1, Seen: 1 << 20})
-	f.event(f.last(), worker.Ended, job.NeverRan) // it is handed back
+	f.event(f.last(), worker.Ended, job.NeverRan) // the order is returned
 	f.is.True(f.Waiting())
 	before := len(f.orders)
 	f.submit("00000000000000bb", steps(1))
@@ -316,14 +323,14 @@
 }
 
 // A task waits for the record of its second loss when another task is found to have crashed
-// both servers. It is acquitted, and nothing started it again: its job, accepted, never
-// ended.
+// both servers. It is cleared of suspicion and must be started again; nothing started it, and
+// its accepted job never ended.
 func TestAcquittedTaskThatWaitedIsStarted(t *testing.T) {
 	f := newCrashFixture(t)
 	first := f.begin()
 	f.lose(first, 3, worker.LossConfirmed)
 	second := f.last()
-	f.tell(second, lost(second, 3, worker.LossConfirmed)) // not recorded yet
+	f.tell(second, lost(second, 3, worker.LossConfirmed)) // the loss is not recorded yet
 	f.is.Equal(len(f.orders), 2)
 	var fx Effects
 	f.acquitNeighboursLocked(f.now, &fx, []job.Crash{
--- a/coordination/owner/drain_test.go
+++ b/coordination/owner/drain_test.go
@@ -10,7 +10,7 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// inDomain tells the load of an agent in a failure domain.
+// inDomain reports the load of an idle agent in a failure domain.
 func (f *fixture) inDomain(node, domain string) {
 	demand := job.Demand{CPUMillis: 16000, MemoryMB: 65536}
 	f.fleet.Update(f.now, node, AgentLoad{Service: "desk", Domain: domain, Capacity: demand, Free: demand, Accepts: true})
@@ -20,8 +20,8 @@
 	return drains.State{Position: position, Domains: domains}
 }
 
-// Guards against work that is placed in a domain before its agents say that it is drained,
-// and against one that stays unused after.
+// Work must not be placed in a drained domain, even before its agents report the drain. The
+// domain must be used again once the drain has ended.
 func TestNothingIsPlacedInADrainedDomain(t *testing.T) {
 	f := newFixture(t, nil, nil, "a", "b")
 	f.inDomain("a", "jeonju")
@@ -33,7 +33,7 @@
 	for _, o := range f.orders {
 		f.is.Equal(o.Node, "a")
 	}
-	f.inDomain("b", "iksan") // news from before it has heard
+	f.inDomain("b", "iksan") // a report from before the agent knows of the drain
 	f.submit("00000000000000ab", steps(3))
 	f.write()
 	for _, o := range f.orders {
@@ -45,8 +45,8 @@
 	f.is.True(slices.ContainsFunc(f.orders, func(o Placed[worker.Order]) bool { return o.Node == "b" }))
 }
 
-// Guards against a task that is lost, or counted as a failed attempt, when its order comes
-// back from a domain that was drained while it was on its way.
+// A failure domain is drained while an order is on its way there, and the order is returned.
+// Its task must be neither lost nor counted as a failed attempt.
 func TestOrderThatADrainReturnsGoesElsewhere(t *testing.T) {
 	f := newFixture(t, nil, nil, "a", "b")
 	f.inDomain("a", "jeonju")
@@ -62,8 +62,8 @@
 	f.is.True(f.orders[1].Node != first.Node)
 }
 
-// Guards against a recorded job that is given up because all its domains are drained: it
-// waits its time, and runs when one is back.
+// A recorded job must not be given up because all its domains are drained. It waits and runs
+// when one of them is available again.
 func TestRecordedJobWaitsOutADrain(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	f.inDomain("a", "jeonju")
@@ -81,7 +81,8 @@
 	f.is.Equal(len(f.orders), 2)
 }
 
-// Guards against a refusal that blames the servers, or a wait, where the drain is the cause.
+// When a drain is the reason for a refusal, the refusal must say so instead of reporting
+// missing workers or a wait.
 func TestRefusalNamesTheDrain(t *testing.T) {
 	f := newFixture(t, nil, nil, "a", "b")
 	f.inDomain("a", "jeonju")
--- a/coordination/owner/owner_test.go
+++ b/coordination/owner/owner_test.go
@@ -17,7 +17,8 @@
 
 const testID job.ID = "00000000000000aa"
 
-// fixture is a shard with links to agents that answer their claims.
+// fixture is a shard with links to agents that answer its claims. It collects the shard's
+// effects.
 type fixture struct {
 	*Shard
 	is      *is.I
@@ -39,7 +40,7 @@
 	return f
 }
 
-// link makes a link, and answers its claim with the runs.
+// link connects an agent and answers the claim with the given runs.
 func (f *fixture) link(node string, session int64, runs ...worker.RunState) {
 	f.fleet.Linked(node)
 	f.fleet.Update(f.now, node, AgentLoad{
@@ -60,7 +61,7 @@
 	}
 }
 
-// write has the store take what is due, and returns it.
+// write writes the pending records to the store and returns them.
 func (f *fixture) write() Batch {
 	b := f.NextBatch(f.now)
 	f.take(f.Written(f.now, b))
@@ -98,9 +99,9 @@
 	return s
 }
 
-// All hosts lose power right after a job was accepted. The client was told that
-// it is stored, so it must be in the store before it is told so, and no task
-// may start for a job that the client was not told of.
+// All hosts lose power right after a job was accepted. Acceptance promises the client that the
+// job is stored, so the record must be written before the answer, and no task may start before
+// the answer.
 func TestAcceptedMeansRecorded(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	got := f.submit(testID, steps(1))
@@ -113,9 +114,8 @@
 	f.is.Equal(len(f.orders), 1)
 }
 
-// A job waits for its record while an agent's link is made anew, at which all
-// tasks without a run are placed. Started then, a task would run for a job that
-// may yet be refused.
+// A job waits for its record while an agent reconnects, which places all tasks that have no
+// run. A task that started then would run for a job that may still be refused.
 func TestNothingStartsBeforeItsJobIsRecorded(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	f.submit(testID, steps(1))
@@ -126,8 +126,8 @@
 	f.is.Equal(len(f.orders), 1)
 }
 
-// The store takes nothing. The client is told at once that the job does not
-// run, and it does not, also not when the store is back.
+// The store rejects writes. The client is told at once that the job does not run, and the job
+// must not run later either, when the store accepts writes again.
 func TestRejectedRecordRefusesTheJobForGood(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	got := f.submit(testID, steps(1))
@@ -140,7 +140,7 @@
 	f.is.Equal(f.Lookup(testID).Outcome, Absent)
 }
 
-// A client sends the same job again seconds after it was accepted.
+// A client submits the same job again after it was accepted. The tasks must start only once.
 func TestSameIDIsOneJob(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	first := f.submit(testID, steps(2))
@@ -153,9 +153,8 @@
 	f.is.Equal(len(f.orders), 2)
 }
 
-// The last task has ended, and the owner is lost before it has written that
-// down. Nobody may have been told so: the end is settled with the agent, and
-// the job shown as completed, only by the record.
+// The last task has ended, and the owner is lost before it has recorded that. Until the record
+// is written, the end is not settled with the agent and the job is not reported as completed.
 func TestEndCountsOnceItIsRecorded(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	f.submit(testID, steps(1))
@@ -187,7 +186,7 @@
 	f.write()
 	f.event(f.orders[0], worker.Ended, job.FailedRun)
 	f.is.Equal(len(f.orders), 2)
-	f.is.True(f.orders[1].Node != f.orders[0].Node) // another agent, if there is one
+	f.is.True(f.orders[1].Node != f.orders[0].Node) // another agent is preferred
 	f.is.True(f.orders[1].What.Run.Number > f.orders[0].What.Run.Number)
 	f.event(f.orders[1], worker.Ended, job.FailedRun)
 	f.is.Equal(len(f.orders), 2)
@@ -196,7 +195,7 @@
 	f.is.Equal(len(f.settled), 2)
 }
 
-// Runs that never started or lost their lease are not the task's fault.
+// Runs that never started or lost their lease do not count as attempts of the task.
 func TestOnlyFailedRunsAreAttempts(t *testing.T) {
 	f := newFixture(t, nil, nil, "a", "b")
 	f.submit(testID, steps(1))
@@ -220,25 +219,25 @@
 	f.is.Equal(len(f.orders), 1)
 }
 
-// The owner is lost while a task runs. Its successor finds the run at the agent
-// and goes on with it: a second run beside it would double the task.
+// The owner is lost while a task runs. Its successor finds the run at the agent and adopts it:
+// a second run beside it would run the task twice.
 func TestTakeoverFindsTheRun(t *testing.T) {
 	rec := job.NewRecord(testID, steps(1), job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 2, Slack: 1.6}, 2)
 	f := newFixture(t, []*job.Record{rec}, []string{"a", "b"})
 	f.link("a", 1)
-	f.is.Equal(len(f.orders), 0) // b may have it
+	f.is.Equal(len(f.orders), 0) // the run may be at b
 	run := job.RunID{Task: job.TaskID{Job: testID}, Number: 1}
 	f.link("b", 1, worker.RunState{Run: run, Status: worker.Running})
-	f.is.Equal(len(f.orders), 1) // the order is repeated, not a new run
+	f.is.Equal(len(f.orders), 1) // the order is repeated, and no new run is started
 	f.is.Equal(f.orders[0].What.Run, run)
 	f.event(f.orders[0], worker.Ended, job.Done)
 	f.write()
 	f.is.Equal(f.Lookup(testID).State, job.Completed)
 }
 
-// The owner and an agent are lost together. The agent may be cut off and still
-// at work for the old owner, so its tasks wait until that is over for certain,
-// and their new runs have higher numbers than any that the old owner gave.
+// The owner and an agent are lost together. The agent may only be cut off and still run tasks
+// for the old owner, so its tasks wait until those runs are over for certain. Their new runs
+// have higher numbers than any that the old owner assigned.
 func TestTakeoverWaitsForAnAgentItCannotReach(t *testing.T) {
 	rec := job.NewRecord(testID, steps(1), job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 2, Slack: 1.6}, 2)
 	f := newFixture(t, []*job.Record{rec}, []string{"a", "gone"})
@@ -251,12 +250,12 @@
 	f.take(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 1)
 	f.is.True(f.orders[0].What.Run.Number > runsPerEpoch)
-	f.is.Equal(f.write().Agents, []string{"a"}) // the next owner need not wait for it
+	f.is.Equal(f.write().Agents, []string{"a"}) // the next owner does not have to wait for the lost agent
 }
 
-// An agent's link is lost with a run behind it, and stays lost. The run is
-// waited out before the task starts elsewhere. When the agent is back after
-// all, with the task ended there, that end must never be acknowledged.
+// An agent's link is lost while a run is active there, and stays lost. The task starts
+// elsewhere only after the wait-out time, when the run has stopped for certain. If the agent
+// reconnects later and reports the end of the first run, that end must never be acknowledged.
 func TestLostLinkIsWaitedOut(t *testing.T) {
 	f := newFixture(t, nil, nil, "a", "b")
 	f.submit(testID, steps(1))
@@ -278,8 +277,8 @@
 	f.is.Equal(f.Lookup(testID).State, job.Completed)
 }
 
-// A link is made anew and the agent does not know an order: it was lost on the
-// way. The task is ordered again.
+// An agent reconnects and does not know an order: it was lost on the way. The task is ordered
+// again.
 func TestOrderLostWithItsLinkIsRepeated(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	f.submit(testID, steps(1))
@@ -290,8 +289,8 @@
 	f.is.True(f.orders[1].What.Run.Number > f.orders[0].What.Run.Number)
 }
 
-// Orders go only to agents that the store names: the next owner would not ask
-// another one for runs, and would start its tasks twice.
+// Orders go only to agents that are recorded in the store. The next owner would not ask other
+// agents for runs and would start their tasks a second time.
 func TestNoOrderBeforeTheAgentIsNamed(t *testing.T) {
 	f := newFixture(t, nil, nil)
 	f.submit(testID, steps(1))
@@ -299,17 +298,17 @@
 	b := f.NextBatch(f.now)
 	f.is.Equal(b.Agents, []string{"a"})
 	early := f.submit("00000000000000cc", steps(1))
-	f.is.Equal((*early)[0].Reason, ReasonNoWorker) // it answered the claim, but is not named yet
+	f.is.Equal((*early)[0].Reason, ReasonNoWorker) // it answered the claim but is not recorded yet
 	f.is.Equal(len(f.orders), 0)
 	f.take(f.Written(f.now, b))
-	f.is.Equal(len(f.orders), 0) // the job was refused: no agent was there
+	f.is.Equal(len(f.orders), 0) // the job was refused because no agent was available
 	f.submit("00000000000000bb", steps(1))
 	f.write()
 	f.is.Equal(len(f.orders), 1)
 }
 
-// Another owner has taken over. Whoever waits is told that the fate is open;
-// its next try finds the truth at the new owner.
+// Another owner has taken over. Waiting callers are told that the outcome is unknown; a retry
+// gets the answer from the new owner.
 func TestFencedOwnerLeavesItsAnswersOpen(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	got := f.submit(testID, steps(1))
@@ -318,8 +317,8 @@
 	f.is.Equal(f.Lookup(testID).Outcome, NotOwner)
 }
 
-// The client of a best-effort job has left. Its runs are stopped; when the job
-// is sent again, a task starts only after its stopped run has ended.
+// The client of a best-effort job disconnects, and the runs of the job are stopped. When the
+// job is submitted again, a task starts only after its stopped run has ended.
 func TestAbandonedJobStartsAgainAfterItsRunsHaveEnded(t *testing.T) {
 	f := newFixture(t, nil, nil)
 	f.Shard = NewPrivate(f.now, 20, testBounds, f.fleet)
@@ -338,9 +337,8 @@
 	f.is.Equal((*got)[0].State, job.Completed)
 }
 
-// The agent that runs a best-effort job is lost for good, and no other is there.
-// Tasks may have run, so the answer must never be a refusal, which would say
-// that the job never runs.
+// The agent that runs a best-effort job is lost for good, and no other agent is linked. Tasks
+// may have run, so the job must not be refused: a refusal promises that it never runs.
 func TestLostAgentNeverTurnsIntoARefusal(t *testing.T) {
 	f := newFixture(t, nil, nil)
 	f.Shard = NewPrivate(f.now, 20, testBounds, f.fleet)
@@ -360,8 +358,8 @@
 	f.is.Equal((*got)[0].State, job.Completed)
 }
 
-// A client leaves out how long its tasks take. Taken as nothing, the job would be
-// late before it starts, and be refused beside idle workers.
+// A client omits the estimated run time. The job must not be treated as if it took no time: it
+// would count as late before it starts and be refused beside idle workers.
 func TestJobWithoutAnEstimateIsAccepted(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	spec := steps(1)
@@ -371,8 +369,8 @@
 	f.is.Equal((*got)[0].Outcome, OK)
 }
 
-// More work waits than the workers can do in time. A job that would be late is
-// refused at once; taken in, it would make the ones behind it late as well.
+// More work waits than the workers can finish in time. A job that would be late is refused at
+// once, since accepting it would delay the jobs behind it as well.
 func TestJobThatWouldBeLateIsRefused(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	f.fleet.Update(f.now, "a", AgentLoad{
@@ -384,7 +382,7 @@
 	f.is.True((*got)[0].RetryAfter > 0)
 }
 
-// submitOnce has a job accepted whose tasks may not be repeated.
+// submitOnce submits a job whose tasks may not be repeated, and writes its record.
 func (f *fixture) submitOnce(id job.ID, n int) {
 	p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 1, Once: true, Slack: 1, Target: time.Second}
 	f.take(f.Submit(f.now, id, steps(n), p, func(Verdict) {}))
@@ -397,9 +395,10 @@
 	return got
 }
 
-// A worker is full and ends a task in 20 ms. A job of the lowest priority that a scale
-// has may wait that long and be in time, so it is accepted. One that is far less
-// urgent than that is the first to be refused, and still gets four tenths of the wait.
+// A worker is full and ends a task every 20 ms. A job with the lowest priority of a usual scale
+// may wait that long and still meet its objective, so it is accepted. Jobs of lower urgency are
+// refused first, but the wait that they are accepted with stays above four tenths of the most
+// urgent job's.
 func TestLeastUrgentJobsAreNotShutOut(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	f.fleet.Update(f.now, "a", AgentLoad{
@@ -418,9 +417,9 @@
 	}
 }
 
-// A task that may not be repeated is cut off: with its backend server, with a
-// link whose agent then has nothing of it, or with an agent that is never seen
-// again. Its job fails, for that reason, and nothing of it is started again.
+// A run of a task that may not be repeated is cut off: its backend server is lost, an agent
+// reconnects without it, or its agent never returns. The job fails with that reason, and none
+// of its tasks is started again.
 func TestCutOffTaskThatMayNotBeRepeatedFailsItsJob(t *testing.T) {
 	for name, cutOff := range map[string]func(*fixture){
 		"server": func(f *fixture) { f.event(f.orders[0], worker.Ended, job.Lapsed) },
@@ -448,9 +447,9 @@
 	}
 }
 
-// An owner takes over and an agent that its predecessor had sent orders to stays
-// away. Whether the task ran there nobody knows, so it is not started again; a
-// job whose agents have all answered goes on.
+// An owner takes over, and an agent that its predecessor had sent orders to does not return.
+// Whether the task ran there is unknown, so it is not started again. A job whose agents have
+// all answered goes on.
 func TestTakeoverWithoutAnAgentRepeatsNothing(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 1, Once: true, Slack: 1}
@@ -467,9 +466,8 @@
 	}
 }
 
-// A caller waits for the end of its job. It is told once the end is recorded,
-// with the results in the order of the tasks, and an owner that has taken over
-// since tells the same.
+// A caller waits for the end of its job. It is answered once the end is recorded, with the
+// results in the order of the tasks. An owner that takes over later gives the same answer.
 func TestResultsOutliveTheirOwner(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	f.submit(testID, steps(2))
@@ -490,8 +488,8 @@
 	}
 }
 
-// The same id comes in for another job. It is refused, also when the first one
-// has ended and another owner has taken over, and the first one's answer stays.
+// A different job is submitted under an ID that is in use. It is refused, also after the first
+// job has ended and another owner has taken over, and the first job's answer stays.
 func TestIDOfAnotherJobIsRefused(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	first, second := steps(1), steps(1)
@@ -506,8 +504,9 @@
 	f.is.Equal((*next.submit(testID, first))[0].State, job.Completed)
 }
 
-// Most deployments submit best-effort jobs only, which need no owner. An owner links the
-// agents when anything of its shard may be there: an earlier owner's runs, or a job.
+// Most deployments submit only best-effort jobs, which need no owner. An owner links the agents
+// only if something of its shard may be there: an earlier owner's runs, or a job that has not
+// ended.
 func TestOwnerWithoutJobsConcernsNoAgent(t *testing.T) {
 	is := is.New(t)
 	fleet := NewFleet(1, DefaultParams())
--- a/coordination/owner/takeover_test.go
+++ b/coordination/owner/takeover_test.go
@@ -8,21 +8,21 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// runState is what an agent says of a run of testID's first task.
+// runState returns the state that an agent reports for a run of testID's first task.
 func runState(number int64, status worker.Status, end job.EndKind) worker.RunState {
 	run := job.RunID{Task: job.TaskID{Job: testID}, Number: number}
 	return worker.RunState{Run: run, Status: status, End: end}
 }
 
-// recorded is a job of one task that earlier owners have accepted.
+// recorded returns the record of a job of one task that earlier owners accepted.
 func recorded() []*job.Record {
 	p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 3, Slack: 1, Target: time.Minute}
 	return []*job.Record{job.NewRecord(testID, steps(1), p, 2)}
 }
 
-// An agent answers a claim with the end of a step, and the owner orders the next
-// step there at once. That order is on its way: it isn't among the agent's runs,
-// and must not be taken for lost and placed a second time.
+// An agent answers a claim with the end of a step, and the owner immediately orders the next
+// step there. That order is still on its way and is not among the agent's runs; it must not be
+// taken for lost and placed a second time.
 func TestOrderGivenWhileAClaimIsAnsweredIsNotLost(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	f.submit(testID, steps(1, 1))
@@ -37,9 +37,9 @@
 	f.is.Equal(second, 1)
 }
 
-// A run failed, its task was ordered again at the same agent, and the link broke
-// before the order arrived. The agent still lists the first run: that doesn't
-// stand for the second, which is ordered anew. Otherwise the job never ends.
+// A run failed, its task was ordered again at the same agent, and the link broke before the
+// order arrived. The agent still lists the first run. That run must not be taken for the second
+// one, which is ordered again; otherwise the job never ends.
 func TestOlderRunDoesNotStandForTheOrderedOne(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	f.submit(testID, steps(1))
@@ -50,26 +50,26 @@
 	f.is.Equal(len(f.orders), 3)
 }
 
-// A run failed at one agent and its task runs at another when the owner dies. The
-// next owner hears of the failure first. The task must not be started again
-// beside the run that it hears of a moment later.
+// A run failed at one agent and its task runs at another when the owner dies. The next owner
+// learns of the failure first. It must not start the task again beside the run that the other
+// agent reports a moment later.
 func TestFailureOfAnEarlierOwnersRunWaitsForTheOtherAgents(t *testing.T) {
 	f := newFixture(t, recorded(), []string{"a", "b"})
 	f.link("a", 1, runState(1, worker.Ended, job.FailedRun))
 	f.is.Equal(len(f.orders), 0)
 	f.link("b", 1, runState(2, worker.Running, 0))
-	f.is.Equal(len(f.orders), 1) // the run that is there, repeated
+	f.is.Equal(len(f.orders), 1) // the order of the existing run, repeated
 	f.is.Equal(f.orders[0].What.Run.Number, int64(2))
 	f.is.Equal(len(f.settled), 1)
-	f.is.True(f.settled[0].What.Void) // the failure was replaced
+	f.is.True(f.settled[0].What.Void) // the newer run supersedes the failure
 }
 
-// The same, and there is no newer run: the failure counts, and the task starts
-// again once everyone has answered.
+// As above, but there is no newer run: the failure counts, and the task starts again once all
+// agents have answered.
 func TestFailureOfAnEarlierOwnersRunCountsInTheEnd(t *testing.T) {
 	f := newFixture(t, recorded(), []string{"a", "b"})
 	f.link("a", 1, runState(1, worker.Ended, job.FailedRun))
-	f.link("a", 2, runState(1, worker.Ended, job.FailedRun)) // its link was made anew
+	f.link("a", 2, runState(1, worker.Ended, job.FailedRun)) // the agent reconnected
 	f.link("b", 1)
 	f.is.Equal(len(f.orders), 1)
 	f.is.True(f.orders[0].What.Run.Number > 1)
@@ -80,8 +80,8 @@
 	f.is.True(!f.settled[0].What.Void)
 }
 
-// One agent has two runs of a task: one that failed and, since, one at work. The
-// failed one, named first, must not start a third.
+// An agent reports two runs of a task: one that failed, and a newer one that is active. The
+// failed run is listed first and must not start a third run.
 func TestNewestRunOfATaskCounts(t *testing.T) {
 	f := newFixture(t, recorded(), []string{"a"})
 	f.link("a", 1, runState(1, worker.Ended, job.FailedRun), runState(2, worker.Running, 0))
@@ -89,10 +89,9 @@
 	f.is.Equal(f.orders[0].What.Run.Number, int64(2))
 }
 
-// A task is done, its record may wait a while, and the link is made anew. The
-// agent names the end again. It must not be settled before the record is
-// written: with the owner lost in between, the next one would run the task again
-// after its end was acknowledged.
+// A task is done, its record is still pending, and the agent reconnects and reports the end
+// again. The end must not be settled before the record is written: if the owner is lost in
+// between, the next one runs the task again although its end was acknowledged.
 func TestEndNamedAgainIsSettledWithItsRecord(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	f.submit(testID, steps(2))
@@ -107,10 +106,10 @@
 	f.is.Equal(len(f.settled), 1)
 }
 
-// A job is cancelled right after a takeover, before its agent has answered. The
-// agent then names the end of one of its tasks. It is settled once the
-// cancellation is recorded: an owner that takes over before knows nothing of it,
-// and would run the task again after its end was acknowledged.
+// A job is cancelled right after a takeover, before its agent has answered. The agent then
+// reports the end of one of its tasks. The end is settled once the cancellation is recorded: an
+// owner that takes over before that does not know of it and would run the task again after its
+// end was acknowledged.
 func TestEndOfAJobWhoseEndIsUnrecordedWaits(t *testing.T) {
 	f := newFixture(t, recorded(), []string{"a"})
 	f.cancel(testID)
@@ -120,10 +119,10 @@
 	f.is.Equal(len(f.settled), 1)
 }
 
-// The group has dropped the owner, which can't ask it, and an agent is out of its
-// reach. The next owner may have claimed that agent's runs and keep them at work:
-// the old one must not start them at an agent that only it can reach. Once the
-// group confirms it again, it does.
+// The store's group has dropped the owner, which cannot reach the group, and an agent is
+// unreachable for the owner. The next owner may have claimed that agent's runs and keep them
+// active, so the old owner must not start their tasks at an agent that only it can reach. It
+// starts them once the group confirms it again.
 func TestUnconfirmedOwnerStartsNothingAgain(t *testing.T) {
 	f := newFixture(t, nil, nil, "a", "b")
 	f.submit(testID, steps(1))
@@ -138,10 +137,10 @@
 	f.is.Equal(len(f.orders), 2)
 }
 
-// An agent knows a newer link of an owner that is still the only one of its shard, and
-// refuses the claim of another. Taken for the word that a new owner is there, the shard
-// was given up: each job of an entry was answered owner_changed until its end. The link is
-// made anew, and tasks go there once its next claim is answered.
+// An agent knows a newer link of an owner that is still the only one of its shard, and refuses
+// the claim of an older link. Taken for a takeover, the refusal made the entry give up its
+// shard, and every later job of the entry was answered with owner_changed. Instead the agent is
+// reconnected, and tasks go there once the next claim is answered.
 func TestRefusedLinkIsMadeAnew(t *testing.T) {
 	f := newFixture(t, nil, nil)
 	claim, _, fx := f.Linked(f.now, "a", 1)
@@ -159,7 +158,7 @@
 	f.is.Equal(len(f.orders), 1)
 }
 
-// The agent knows a newer epoch: the shard has another owner, and this one gives it up.
+// The agent knows a newer epoch: the shard has another owner, and this one must give it up.
 func TestClaimRefusedForANewerOwnerEndsTheShard(t *testing.T) {
 	f := newFixture(t, nil, nil)
 	claim, _, fx := f.Linked(f.now, "a", 1)
@@ -168,10 +167,10 @@
 	f.is.True(f.Closed())
 }
 
-// An owner that was unconfirmed when a link came up claims all links once the group has
-// confirmed it, also those that it has claimed. The second claim was on its way when an
-// order went out; the answer didn't name the run, which was taken for lost and started
-// elsewhere: two runs of the task at a time. A link is claimed once.
+// An owner that was unconfirmed when a link came up claimed all links once the group confirmed
+// it, including those already claimed. An order was sent while a second claim was on its way;
+// the answer did not list the run, so it was taken for lost and started elsewhere, and the task
+// ran twice at a time. A link must be claimed only once.
 func TestLinkIsClaimedOnce(t *testing.T) {
 	f := newFixture(t, nil, nil, "a", "b")
 	_, ok, fx := f.Linked(f.now, "a", 1)
@@ -184,11 +183,11 @@
 	f.take(fx)
 	f.is.True(!ok)
 	f.take(f.Claimed(f.now, f.orders[0].Node, worker.Claimed{Claim: worker.Claim{Shard: f.ID, Epoch: f.Epoch, Session: 1}}))
-	f.is.Equal(len(f.orders), 1) // no answer to a second claim is taken
+	f.is.Equal(len(f.orders), 1) // the answer to a second claim is ignored
 }
 
-// A claim is lost between a link's start and its first frame, or its agent doesn't answer.
-// Nothing else would ever be placed there, so the link is made anew.
+// A claim is lost between the start of a link and its first frame, or the agent does not answer
+// it. No task would ever be placed on that agent, so the link must be reconnected.
 func TestUnansweredClaimHasTheLinkMadeAnew(t *testing.T) {
 	f := newFixture(t, nil, nil)
 	_, _, fx := f.Linked(f.now, "a", 1)
