--- a/coordination/worker/capacity_test.go
+++ b/coordination/worker/capacity_test.go
@@ -9,7 +9,7 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// say has the backend server report a capacity; its clock goes on with each report.
+// say makes the backend server report a capacity and advances its clock with each report.
 func (f *fixture) say(seq, cpuMillis int64) {
 	f.pass(time.Millisecond)
 	f.sayAt(seq, cpuMillis, f.clock)
@@ -22,12 +22,13 @@
 	}, clock)))
 }
 
-// free is what owners are told of the room.
+// free returns the free CPU that owners are told, in thousandths of a core.
 func (f *fixture) free() int64 { return f.Load(f.now).Free.CPUMillis }
 
-// A backend server says that it has half of its room left while two tasks run. It starts
-// what it is told, so a third start would bring it over. The two keep their room, nothing
-// starts before both have ended, and what would wait too long goes back as not run.
+// A backend server reports half of its former capacity while two tasks run. It starts whatever
+// it is told to start, so a third start would exceed the capacity. The two runs keep their
+// share, nothing starts before both have ended, and an order that would wait too long is
+// returned as not run.
 func TestNothingStartsBeyondARoomThatHasShrunk(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
@@ -37,19 +38,20 @@
 	urgent := f.order(2)
 	urgent.Due = f.now + 150*time.Millisecond
 	f.is.Equal(len(f.send(urgent).Starts), 0)
-	f.is.Equal(f.ended()[0].Reason, ReasonNoRoom) // handed back
+	f.is.Equal(f.ended()[0].Reason, ReasonNoRoom) // returned
 	patient := f.order(3)
 	f.is.Equal(len(f.send(patient).Starts), 0)
 	f.end(f.order(0).Run, job.Done)
 	f.hold()
-	f.is.Equal(len(f.alive), 1) // one still runs, and takes all there is
+	f.is.Equal(len(f.alive), 1) // the other run still takes the whole capacity
 	f.end(f.order(1).Run, job.Done)
 	f.hold()
 	f.is.Equal(f.alive, map[job.RunID]bool{patient.Run: true})
 }
 
-// Orders wait at an agent when its server shrinks. One is more than the server has now,
-// another would start too late: both go back at once, so that their owners find others.
+// Orders wait at an agent when its server shrinks. One needs more than the server has now,
+// another would start too late. Both are returned at once, so that their owners place them
+// elsewhere.
 func TestWhatWaitsGoesBackWhenTheRoomShrinks(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
@@ -69,11 +71,12 @@
 	f.is.Equal(reasons, map[job.RunID]string{wide.Run: reasonTooLarge, urgent.Run: ReasonNoRoom})
 }
 
-// The room grows again: what waits starts with the report that says so, not with the next end.
+// The capacity grows again. Waiting orders must start with the report that says so and not only
+// with the next end of a run.
 func TestRoomThatGrowsIsUsedAtOnce(t *testing.T) {
 	f := newFixture(t)
 	f.say(2, 0)
-	f.is.Equal(len(f.send(f.order(0)).Starts), 0) // it is more than there is
+	f.is.Equal(len(f.send(f.order(0)).Starts), 0) // it needs more than the server has
 	f.say(3, 1600)
 	f.send(f.order(1))
 	f.send(f.order(2))
@@ -82,36 +85,36 @@
 	f.is.Equal(len(f.alive), 2)
 }
 
-// Reports overtake one another, are repeated, or come late. What is older than the newest
-// word changes nothing: the room of an old word was given out again, and brought the
-// server over what it had.
+// Reports overtake one another, are repeated or arrive late. A report older than the newest
+// known one must change nothing: an outdated capacity was assigned again and overcommitted the
+// server.
 func TestOldWordsOnTheRoomChangeNothing(t *testing.T) {
 	f := newFixture(t)
 	early := f.clock
 	f.say(5, 1600)
 	f.is.Equal(f.free(), int64(1600))
-	f.sayAt(4, 3200, early) // held up on its way
+	f.sayAt(4, 3200, early) // a delayed report
 	f.is.Equal(f.free(), int64(1600))
-	f.sayAt(5, 3200, f.clock) // a number that was there already
+	f.sayAt(5, 3200, f.clock) // a sequence number that was received before
 	f.is.Equal(f.free(), int64(1600))
 	f.say(6, 3200)
 	f.is.Equal(f.free(), int64(3200))
 	f.say(7, 1600)
 	f.is.Equal(f.free(), int64(1600))
 
-	// An answer to a call counts alike, by the server's clock.
+	// Answers to holds are ordered with the reports by the server's clock.
 	c, _ := f.Hold(f.now)
 	f.pass(10 * time.Millisecond)
 	f.take(f.Held(f.now, c, Holding{ClockMS: f.clock, Capacity: &job.Demand{CPUMillis: 800, MemoryMB: 1000}}))
 	f.is.Equal(f.free(), int64(800))
-	f.sayAt(8, 3200, f.clock-5) // said before that answer
+	f.sayAt(8, 3200, f.clock-5) // reported before that answer
 	f.is.Equal(f.free(), int64(800))
 	f.say(9, 3200)
 	f.is.Equal(f.free(), int64(3200))
 }
 
-// A run is being stopped, and the fate of a start is unknown, when the room shrinks. Both
-// keep their room: the server may still have them.
+// The capacity shrinks while one run is being stopped and another one's start is unanswered.
+// Both keep their share, since the server may still run them.
 func TestStopsAndDoubtfulStartsKeepTheirRoom(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
@@ -123,8 +126,8 @@
 	f.is.Equal(len(f.send(f.order(2)).Starts), 0)
 }
 
-// A new instance has room of its own, whatever the last one had left, and a clock that
-// begins anew.
+// A new instance has its own capacity, whatever the previous one reported last, and a clock
+// that starts again.
 func TestNewInstanceHasItsOwnRoom(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
@@ -136,7 +139,8 @@
 	is.True(!f.Varies())
 }
 
-// The sizes differ, and memory may be what lacks: so many runs have to end first.
+// The excess counts the runs that have to end before another one fits. Runs differ in size, and
+// memory may be the resource that is exceeded.
 func TestExcess(t *testing.T) {
 	is := is.New(t)
 	o := occupancy{runs: 4, used: job.Demand{CPUMillis: 4000, MemoryMB: 400}}
--- a/coordination/worker/crash_test.go
+++ b/coordination/worker/crash_test.go
@@ -9,7 +9,7 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// losses returns what was told of runs that were lost with their server.
+// losses returns the collected states of the given status for runs lost with their server.
 func (f *fixture) losses(status Status) []RunState {
 	var out []RunState
 	for _, e := range f.got {
@@ -20,7 +20,8 @@
 	return out
 }
 
-// crash has the backend server go away with all that runs there, until its lease is over.
+// crash removes all runs from the backend server and lets its holds fail until the lease has
+// expired.
 func (f *fixture) crash() {
 	clear(f.alive)
 	f.ends = nil
@@ -33,8 +34,8 @@
 	}
 }
 
-// A backend server crashes under two runs and is back as another instance. Their owner is
-// told with each that there were two suspects, and later that it was a crash.
+// A backend server crashes under two runs and returns as another instance. The owner is told
+// with each lost run that there were two suspects, and later that it was a crash.
 func TestCrashNamesItsSuspects(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
@@ -54,7 +55,8 @@
 	f.is.Equal(news[0].Loss, LossConfirmed)
 }
 
-// The new instance reports before the lease of the old one is over.
+// A new instance reports before the old one's lease has expired. The crash is confirmed at
+// once.
 func TestQuickReturnIsACrashAtOnce(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
@@ -63,8 +65,9 @@
 	f.is.Equal(len(f.losses(LossNews)), 0)
 }
 
-// A backend server is cut off for longer than its lease, or its host was suspended, and
-// answers again as the same instance: nothing has crashed.
+// A backend server is cut off for longer than its lease, or its host is suspended, and it
+// answers again as the same instance. Nothing has crashed, so its runs are cleared of
+// suspicion.
 func TestSameInstanceClearsItsRuns(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
@@ -76,8 +79,8 @@
 	f.is.Equal(news[0].Loss, LossCleared)
 }
 
-// A backend server that drains, or has said that it leaves, ends as planned, and a stop of
-// the agent takes it along: its runs have done nothing.
+// A backend server that drains or has deregistered ends as planned, and a planned stop of the
+// agent ends its server too. The runs on it must not become suspects.
 func TestPlannedEndsRaiseNoSuspicion(t *testing.T) {
 	for name, end := range map[string]func(*fixture){
 		"draining": func(f *fixture) { f.report("i-1", 2, true); f.crash(); f.report("i-2", 1, false) },
@@ -95,9 +98,9 @@
 	}
 }
 
-// The owner of a lost run dies before the news of the loss came to it. Its successor's
-// claim is answered with the loss, and what becomes of the server goes to the successor, also
-// with the next link if one is lost.
+// The owner of a lost run dies before it learns of the loss. The answer to its successor's
+// claim names the loss. What becomes of the server is reported to the successor, and again with
+// the next claim if a link is lost.
 func TestLossIsToldToTheNextOwner(t *testing.T) {
 	f := newFixture(t)
 	f.claim(recorded, 5, 1)
@@ -111,31 +114,32 @@
 	f.is.Equal(answer.Lost[0].Loss, LossSuspected)
 	f.report("i-2", 1, false)
 	f.is.Equal(f.got[len(f.got)-1].Epoch, int64(6))
-	// The link with that news was lost, and another is made.
+	// The link that carried the report was lost, and a new one is made.
 	f.is.Equal(f.claim(recorded, 6, 3).Lost[0].Loss, LossConfirmed)
 	f.pass(lostMemory + time.Second)
 	f.take(f.Tick(f.now))
 	f.is.Equal(len(f.claim(recorded, 6, 4).Lost), 0)
 }
 
-// Two tasks under which servers were lost come to one server. Started together, the next
-// crash would have two suspects again; the second waits until the first has ended.
+// Two tasks under which servers were lost arrive at one server. If both ran at a time, the next
+// crash would have two suspects again, so the second waits until the first has ended.
 func TestSuspectsAreKeptApart(t *testing.T) {
 	f := newFixture(t)
 	first, second := f.order(0), f.order(1)
 	first.Caution, second.Caution = Apart, Apart
 	f.send(first)
 	f.is.Equal(len(f.send(second).Starts), 0)
-	f.is.Equal(len(f.send(f.order(2)).Starts), 1) // others go on
+	f.is.Equal(len(f.send(f.order(2)).Starts), 1) // runs without caution still start
 	f.is.Equal(f.Load(f.now).Suspects, 2)
 	f.end(first.Run, job.Done)
 	f.hold()
 	f.is.Equal(len(f.alive), 2)
 }
 
-// A task under which two servers were lost waits until the server is empty, and has it for
-// itself for its expected time; nothing that comes meanwhile starts beside it, and owners
-// see no room. One that takes longer than it was expected to doesn't keep the server.
+// A task under which two servers were lost waits until the server is empty and then has it
+// exclusively for its estimated run time. Nothing that arrives meanwhile starts beside it, and
+// owners see no free capacity. A task that takes longer than estimated does not keep the server
+// to itself.
 func TestSuspectRunsAlone(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
@@ -156,7 +160,8 @@
 	f.is.Equal(len(f.alive), 2)
 }
 
-// What a server that stays away was lost with is not remembered for ever.
+// The runs that were lost with a server which does not return are remembered only for a limited
+// time.
 func TestLossIsForgotten(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
@@ -168,9 +173,9 @@
 	is.Equal(len(f.losses(LossNews)), 0)
 }
 
-// A backend server is cut off until its lease is over, is there again, and crashes later
-// under another run. The first run was lost with the lease and not with a crash; told of as
-// crashed with the next claim, its task would be under suspicion for nothing.
+// A backend server is cut off until its lease has expired, returns, and crashes later under
+// another run. The first run was lost with the lease and not with the crash. If the answer to
+// the next claim reported it as crashed, its task would be suspected wrongly.
 func TestLaterCrashIsNotOfEarlierRuns(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
--- a/coordination/worker/drain_test.go
+++ b/coordination/worker/drain_test.go
@@ -7,8 +7,8 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// Guards against an order that waits at the agent and is started after its failure domain
-// was drained. It goes back as not run, and what runs goes on with its room.
+// An order that waits at the agent must not start after its failure domain was drained. It is
+// returned as not run, and running tasks go on and keep their capacity.
 func TestWhatWaitsGoesBackWhenItsDomainIsDrained(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
@@ -24,12 +24,12 @@
 	free := f.free()
 	f.end(f.order(0).Run, job.Done)
 	f.hold()
-	f.is.Equal(len(f.alive), 1) // its room is free, and nothing follows
+	f.is.Equal(len(f.alive), 1) // its capacity is free, and nothing starts
 	f.is.True(f.free() > free)
 }
 
-// Guards against an order that was sent before its sender heard of the drain, and against
-// starts in a domain that is drained and taken back in quick succession.
+// An order that was sent before its sender learned of a drain must not start, also when the
+// domain is drained and undrained in quick succession.
 func TestOrderInADrainedDomainIsRefused(t *testing.T) {
 	f := newFixture(t)
 	for i := range 4 {
@@ -46,8 +46,8 @@
 	f.is.Equal(f.Stats().Drained, int64(4))
 }
 
-// Guards against a start without an answer that is sent again once the domain is drained:
-// only the list, or its bar, settles it.
+// A start that got no answer must not be sent again once the domain is drained. Only the
+// server's list of runs or a stop that bars the run settles it.
 func TestDoubtfulStartInADrainedDomain(t *testing.T) {
 	f := newFixture(t)
 	o := f.order(0)
--- a/coordination/worker/former_test.go
+++ b/coordination/worker/former_test.go
@@ -9,8 +9,8 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// newFixtureWithFormerRun returns an agent that finds a run of one of two entries which
-// its earlier life has taken orders of.
+// newFixtureWithFormerRun returns a restarted agent that finds a run from before its restart.
+// The run belongs to one of two entries whose orders its previous incarnation accepted.
 func newFixtureWithFormerRun(t *testing.T) (*fixture, job.RunID) {
 	f := newFixture(t)
 	f.Former([]string{"entry-1/old", "entry-2/old"})
@@ -20,11 +20,11 @@
 	return f, run
 }
 
-// All processes are killed at once; the backend servers go on. Callers come back to
-// entries that know nothing of the old runs, and found every worker full of them until
-// those had been silent for 0.3 s. The entries' new lives show that the earlier ones
-// are gone, so the runs are stopped with the last of their claims, and not before: an
-// entry that lives may repeat its orders.
+// All processes are killed at once while the backend servers go on. Clients reconnect to
+// entries that do not know the old runs, and found every worker full of them until those had
+// been without an owner for 0.3 s. Claims by the entries' new incarnations show that the
+// earlier ones are gone, so the runs are stopped with the last such claim. They must not be
+// stopped before that, since an entry that is still alive may repeat its orders.
 func TestRunsOfEntriesThatAreGoneStopAtOnce(t *testing.T) {
 	f, run := newFixtureWithFormerRun(t)
 	f.claimAs("entry-1/new", private+1)
@@ -35,8 +35,8 @@
 	f.is.Equal(f.stops[0].Run, run)
 }
 
-// One of two entries has kept its life while the agent restarted. Its run goes on
-// until the usual time for adoption is over.
+// One of two entries did not restart while the agent did. The run goes on until the adoption
+// time is over.
 func TestRunMayBeOfAnEntryThatLives(t *testing.T) {
 	f, _ := newFixtureWithFormerRun(t)
 	f.claimAs("entry-1/new", private+1)
@@ -47,9 +47,9 @@
 	f.is.Equal(len(f.stops), 1)
 }
 
-// An entry is killed and starts again; its clients were cut off. The agent has run on
-// and knows which runs were of the earlier life: they are stopped with the new claim,
-// those of others and of recorded jobs go on.
+// An entry is killed, its clients are cut off, and it starts again. The agent kept running and
+// knows which runs belong to the entry's earlier incarnation. These are stopped with the new
+// claim, and the runs of other owners go on.
 func TestNewLifeOfAnEntryEndsTheRunsOfTheEarlier(t *testing.T) {
 	f := newFixture(t)
 	f.claimAs("entry-1/old", private+1)
@@ -68,9 +68,9 @@
 	f.take(f.Claim(f.now, Claim{Shard: shard, Epoch: 1, Session: 1, Owner: owner}).Effects)
 }
 
-// A backend server answers starts within a few milliseconds, then leaves one in twenty
-// unanswered. The caller's short job is late if the agent waits for the lost answer
-// much longer than answers take.
+// A backend server answers starts within a few milliseconds and then leaves one in twenty
+// unanswered. The caller's short job is late if the agent waits much longer for a lost answer
+// than answers usually take.
 func TestPatienceFollowsTheAnswers(t *testing.T) {
 	is := is.New(t)
 	var a answerTimes
@@ -81,16 +81,17 @@
 	is.Equal(a.patience(), leastPatience)
 	a.missed()
 	is.True(a.patience() < 2*leastPatience)
-	// The host turns slow: no answer comes in time any more, until it is waited longer.
+	// The host becomes slow: no answer arrives in time until the time-out has grown.
 	for range 12 {
 		a.missed()
 	}
 	is.Equal(a.patience(), mostPatience)
 }
 
-// All processes were killed where no job is recorded, so no owner ever claims. The ends
-// of the earlier life's runs were kept for owners, and with them all that the backend
-// server listed behind: eight seconds later its list was full, and nobody was served.
+// All processes were killed in a deployment without recorded jobs, so no owner ever claims a
+// shard. The ends of runs from before the restart were kept for owners and blocked every later
+// end on the backend server's list: eight seconds later the list was full, and no job was
+// served.
 func TestEndsOfAnEarlierLifeHoldUpNothing(t *testing.T) {
 	f := newFixture(t)
 	f.Former([]string{"entry-1/old"})
@@ -101,12 +102,13 @@
 	f.hold()
 	f.is.Equal(f.hold().Acked, int64(1))
 	found := f.Claim(f.now, Claim{Shard: private + 1, Epoch: 1, Session: 1, Owner: "entry-1/old"})
-	f.is.Equal(len(found.Runs), 1) // its entry may live and ask for it
+	f.is.Equal(len(found.Runs), 1) // its entry may still be alive and claim it
 	f.is.True(!f.Orphaned(f.now + 2*orphanAfter))
 }
 
-// An earlier life may have had runs of recorded jobs. An end of one is not acknowledged
-// before its owner has claimed; when none does, the agent asks for it.
+// Runs from before the agent's restart may be of recorded jobs. The end of such a run is not
+// acknowledged before its owner has claimed the shard. If no owner does, the agent reports that
+// the end is orphaned.
 func TestEndOfARecordedJobWaitsForItsOwner(t *testing.T) {
 	f := newFixture(t)
 	old := job.RunID{Task: job.TaskID{Job: "00000000000000ee"}, Number: 1}
@@ -119,9 +121,9 @@
 	f.is.True(f.Orphaned(f.now + 2*orphanAfter))
 }
 
-// A backend server answers quickly for a while; then a job whose tasks may not be
-// repeated starts a thousand of them. Some starts take 30 ms. Given up after 20, each
-// was stopped just after it had begun, and the caller was told that its job was cut off.
+// A backend server answers quickly for a while. Then a job whose tasks may not be repeated
+// starts a thousand of them, and some starts take 30 ms. With a time-out of 20 ms each of these
+// was stopped just after it had started, and the caller was told that its job was cut off.
 func TestStartThatMayNotBeRepeatedIsWaitedForLonger(t *testing.T) {
 	f := newFixture(t)
 	for range 60 {
@@ -133,9 +135,9 @@
 	f.is.Equal(f.take(f.Order(f.now, once)).Starts[0].Patience, mostPatience)
 }
 
-// A backend server answers starts in 2 ms, and its lists, of a thousand tasks on a busy
-// host, in 60. Each list is waited for longer than the one that did not come, so that
-// the lease is extended before it runs out and nothing is cut off.
+// A backend server on a busy host answers starts in 2 ms, but takes 60 ms to list a thousand
+// tasks. The time-out for a list must grow with each missing answer, so that the lease is
+// extended before it expires and no run is cut off.
 func TestListsThatAreSlowAreWaitedFor(t *testing.T) {
 	f := newFixture(t)
 	for range 60 {
--- a/coordination/worker/worker_test.go
+++ b/coordination/worker/worker_test.go
@@ -18,10 +18,11 @@
 
 var testBounds = Bounds{Lease: time.Second, OwnerSilence: 1300 * time.Millisecond, Relink: 600 * time.Millisecond, Adoption: 300 * time.Millisecond, Shards: testShards}
 
-// recorded is a shard whose jobs are recorded.
+// recorded is the number of a shard whose jobs are recorded.
 const recorded = 0
 
-// fixture is a worker with one backend server of room for two tasks.
+// fixture is a worker whose backend server has the capacity for two tasks. It collects the
+// worker's effects.
 type fixture struct {
 	*Worker
 	is    *is.I
@@ -52,7 +53,7 @@
 	return f.Claim(f.now, Claim{Shard: shard, Epoch: epoch, Session: session, Owner: "owner-" + strconv.Itoa(shard)})
 }
 
-// pass lets time pass on both clocks.
+// pass advances the local clock and the backend server's clock.
 func (f *fixture) pass(d time.Duration) {
 	f.now += d
 	f.clock += d.Milliseconds()
@@ -72,7 +73,7 @@
 	}
 }
 
-// send has an order taken in, and confirms the starts that it brings.
+// send delivers an order and confirms the starts that result from it.
 func (f *fixture) send(o Order) Effects {
 	fx := f.take(f.Order(f.now, o))
 	f.confirm(fx)
@@ -84,7 +85,7 @@
 	f.ends = append(f.ends, ListedEnd{Seq: int64(len(f.ends)) + 1, Run: run, Kind: kind})
 }
 
-// hold has the worker look at the backend server, and returns the call.
+// hold makes a hold call, answers it with the server's lists, and returns the call.
 func (f *fixture) hold() HoldCall {
 	c, ok := f.Hold(f.now)
 	f.is.True(ok)
@@ -101,7 +102,7 @@
 	return c
 }
 
-// confirm has the backend server start what it is told.
+// confirm makes the backend server carry out the starts and answer them.
 func (f *fixture) confirm(fx Effects) {
 	for _, s := range fx.Starts {
 		f.alive[s.Run] = true
@@ -109,7 +110,7 @@
 	}
 }
 
-// ended returns the ends that were told to owners.
+// ended returns the ends that were reported to owners.
 func (f *fixture) ended() []RunState {
 	var out []RunState
 	for _, e := range f.got {
@@ -125,29 +126,30 @@
 	for i := range 3 {
 		f.send(f.order(i))
 	}
-	f.is.Equal(len(f.alive), 2) // the third waits
+	f.is.Equal(len(f.alive), 2) // the third order waits
 	f.is.Equal(f.Load(f.now).Waiting, 1)
 	f.end(f.order(0).Run, job.Done)
-	f.is.Equal(f.Load(f.now).Free.CPUMillis, int64(0)) // room is free only when the end is listed
+	f.is.Equal(f.Load(f.now).Free.CPUMillis, int64(0)) // capacity is free only once the end is listed
 	c, _ := f.Hold(f.now)
 	fx := f.Held(f.now, c, Holding{ClockMS: f.clock, Active: []Listed{{Run: f.order(1).Run}}, Ends: f.ends})
 	f.is.Equal(len(fx.Starts), 1)
 }
 
-// A worker is full, and an order with too little time to go elsewhere waits until it is
-// late. Orders that can still be in time keep coming. Put behind them all, it would wait for seconds, and the client of
-// its job, whose other tasks are done, would leave with nothing.
+// A worker is full, and an order with too little time to go elsewhere waits until it is late,
+// while orders that can still meet their deadline keep arriving. Queued behind all of them, the
+// late order would wait for seconds, and the client of its job, whose other tasks are done,
+// would leave without an answer.
 func TestLateOrderIsNotStarved(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
 	f.send(f.order(1))
 	late := f.order(2)
 	late.Due = f.now + late.Estimate + returnMargin
-	f.send(late) // has to wait
+	f.send(late) // waits
 	for n := 3; n < 8; n++ {
 		f.pass(100 * time.Millisecond)
 		f.Heard(f.now, "owner-"+strconv.Itoa(private))
-		f.send(f.order(n)) // in time for a second
+		f.send(f.order(n)) // a second before its deadline
 	}
 	f.end(f.order(0).Run, job.Done)
 	c, _ := f.Hold(f.now)
@@ -156,9 +158,9 @@
 	f.is.Equal(fx.Starts[0].Run, late.Run)
 }
 
-// Two owners see the same free room and send their orders there at once. The second would
-// wait until a task ends, and be late, while other workers have room: its owner has it back
-// at once. An order that can wait that long stays.
+// Two owners see the same free capacity and send their orders at the same time. The second
+// order would wait until a task ends and be late although other workers have free capacity, so
+// it is returned to its owner at once. An order that can wait that long stays.
 func TestOrderThatWouldBeLateGoesBack(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
@@ -175,10 +177,10 @@
 	f.is.Equal(f.Load(f.now).Waiting, 1)
 }
 
-// A start gets no answer and is carried out two seconds later. Its owner sees
-// the task started elsewhere only once the run is barred here: if the room were
-// given away at the time-out, the late start would put the backend server over
-// its room, and if the owner started the task anew, it would run twice.
+// A start gets no answer and is carried out two seconds later. The worker must keep the
+// capacity reserved, and the owner must not start the task elsewhere, until the run is barred
+// here. Capacity freed at the time-out would let the late start overcommit the backend server,
+// and a task started elsewhere would run twice.
 func TestUnansweredStartKeepsItsRoomUntilItIsBarred(t *testing.T) {
 	f := newFixture(t)
 	first := f.order(0)
@@ -187,9 +189,9 @@
 	f.take(f.StartAnswered(f.now, "i-1", first.Run, StartUnknown, "time-out"))
 	f.send(f.order(1))
 	f.send(f.order(2))
-	f.is.Equal(f.Load(f.now).Waiting, 1) // the room of the first is not free
+	f.is.Equal(f.Load(f.now).Waiting, 1) // the capacity of the first run is still reserved
 	f.hold()
-	f.is.Equal(len(f.stops), 1)   // it is not listed: a stop bars the run for good
+	f.is.Equal(len(f.stops), 1)   // the run is not listed, so a stop bars it permanently
 	f.is.Equal(len(f.ended()), 0) // nothing is certain yet
 	f.take(f.StopAnswered(f.now, "i-1", first.Run, true))
 	f.hold()
@@ -197,8 +199,8 @@
 	f.is.Equal(f.Load(f.now).Waiting, 0)
 }
 
-// Neither the start nor the stop that bars it is answered. The deadline in the
-// start passes on the backend server's own clock: from then on it refuses it.
+// Neither a start nor the stop that bars it is answered. The start ends when its deadline
+// passes on the backend server's own clock, since the server refuses it from then on.
 func TestUnansweredStartIsOverAfterItsDeadline(t *testing.T) {
 	f := newFixture(t)
 	o := f.order(0)
@@ -214,8 +216,8 @@
 	f.is.Equal(f.ended()[0].End, job.NeverRan)
 }
 
-// The answer to a start is lost, and the run is at work. The next list shows
-// it: stopped for the lost answer, its work would be thrown away.
+// The answer to a start is lost, but the run is active. The next list shows it, so it must not
+// be stopped: its work would be lost.
 func TestLostAnswerOfAStartCostsNothing(t *testing.T) {
 	f := newFixture(t)
 	o := f.order(0)
@@ -227,15 +229,15 @@
 	f.is.Equal(f.Load(f.now).Running, 1)
 }
 
-// Three answers in ten are lost for some seconds, so three in a row are, about once
-// a second on each server. A server that is emptied for that stands idle while its
-// orders go to others, and their jobs are late. It keeps its orders, and holds follow
-// quickly, so that what a lost answer hides is seen soon.
+// Three answers in ten are lost for some seconds, so three in a row are lost about once a
+// second on each server. A server that lost its waiting orders for that would be idle, and the
+// jobs of the returned orders late. The server keeps its orders, and holds follow in quick
+// succession, so that what a lost answer would have reported is known soon.
 func TestLostAnswersEmptyNoServer(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
 	f.send(f.order(1))
-	f.send(f.order(2)) // has to wait
+	f.send(f.order(2)) // waits
 	f.is.True(!f.hold().Lossy)
 	for range 3 {
 		c, ok := f.Hold(f.now)
@@ -250,15 +252,15 @@
 	f.is.True(!f.hold().Lossy)
 }
 
-// The backend server does not answer. Orders that have not been sent go back at
-// once, and no more are taken: their jobs would wait for the lease to expire.
+// The backend server does not answer. Orders that have not been sent to it are returned at once
+// and no more are accepted, since their jobs would wait for the lease to expire.
 func TestSilentServerGivesWaitingOrdersBack(t *testing.T) {
 	f := newFixture(t)
 	for i := range 3 {
 		f.send(f.order(i))
 	}
 	for range silentHolds {
-		f.is.Equal(len(f.ended()), 0) // a single lost answer costs nothing
+		f.is.Equal(len(f.ended()), 0) // fewer lost answers have no effect
 		c, _ := f.Hold(f.now)
 		f.take(f.HoldFailed(f.now, c, NoAnswer))
 	}
@@ -268,9 +270,8 @@
 	f.is.True(f.Load(f.now).Accepts)
 }
 
-// Tasks stand still on a server that answers and lists them as active. Each job
-// with one task there is lost, unless its runs are stopped and started again
-// elsewhere.
+// Tasks make no progress on a server that still answers and lists them as active. Every job
+// with a task there is lost unless the runs are stopped and started again elsewhere.
 func TestStalledServerIsLeftAlone(t *testing.T) {
 	f := newFixture(t)
 	for i := range 5 {
@@ -280,16 +281,16 @@
 	}
 	f.pass(170 * time.Millisecond)
 	f.hold()
-	f.is.True(f.Load(f.now).Accepts) // four tasks of 100 ms, each 70 % over
+	f.is.True(f.Load(f.now).Accepts) // four tasks of 100 ms, each 70 % over its estimate
 	f.pass(10 * time.Millisecond)
 	f.hold()
 	f.is.Equal(len(f.stops), 4)
-	f.is.Equal(f.ended()[0].Reason, "stalled") // the order that waited
+	f.is.Equal(f.ended()[0].Reason, "stalled") // the waiting order is returned
 	f.is.True(!f.Load(f.now).Accepts)
 }
 
-// A server was slow for a while. Owners give it nothing while others are faster;
-// remembered for good, it would stand idle beside full ones.
+// A server was slow for a while. Owners prefer faster servers, so a slowdown that was
+// remembered forever would leave the server idle beside full ones.
 func TestSlowServerIsForgotten(t *testing.T) {
 	f := newFixture(t)
 	for i := range 8 {
@@ -305,8 +306,8 @@
 	f.is.Equal(f.Load(f.now).Slowdown, 1.0)
 }
 
-// Ends of very short tasks are noticed late on a busy host. The delay says nothing
-// of how long other tasks take here.
+// On a busy host the ends of very short tasks are noticed late. That delay must not count as a
+// slowdown of the server.
 func TestLateNoticeOfShortTasksIsNoSlowness(t *testing.T) {
 	f := newFixture(t)
 	for i := range 8 {
@@ -321,8 +322,8 @@
 	f.is.Equal(f.Load(f.now).Slowdown, 1.0)
 }
 
-// One task takes far longer than its client said. It is the task's own time:
-// stopped and started elsewhere, it would take as long again.
+// One task takes far longer than its client estimated. This is the task's own run time: stopped
+// and started elsewhere, it would take as long again.
 func TestOneLongTaskIsNoStall(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
@@ -334,8 +335,8 @@
 	f.is.Equal(len(f.stops), 0)
 }
 
-// A hold overtakes a start on another connection: its list lacks the run. Taken
-// for lost, the task would be started again beside the first run.
+// A hold overtakes a start on another connection, so its list lacks the run. The run must not
+// be taken for lost, or the task would be started again beside it.
 func TestListFromBeforeTheStartLosesNothing(t *testing.T) {
 	f := newFixture(t)
 	c, _ := f.Hold(f.now)
@@ -345,10 +346,10 @@
 	f.is.Equal(f.Load(f.now).Running, 1)
 }
 
-// The agent that a best-effort job went to is lost after a run has ended here.
-// Nobody settles the end any more. Later ends can't be acknowledged behind it,
-// the backend server's list fills up to its bound, and runs that end after that
-// are missing in it: each would be taken for lost and started again.
+// The owner of a best-effort job is lost after a run has ended here, so no owner settles the
+// end. Later ends could not be acknowledged behind it, and the backend server's list would fill
+// up to its limit. Runs that ended after that would be missing from the list, taken for lost
+// and started again.
 func TestEndOfALostOwnerDoesNotBlockTheOthers(t *testing.T) {
 	f := newFixture(t)
 	f.claim(private+1, 1, 1)
@@ -369,8 +370,8 @@
 	f.is.Equal(f.hold().Acked, int64(2))
 }
 
-// The list of ends is full, so it lacks the end of a run. The run must not be
-// taken for lost: it may have ended as done.
+// The list of ends is full and lacks the end of a run. The run must not be taken for lost: it
+// may have ended as done.
 func TestFullListSaysNothingOfWhatItLacks(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
@@ -387,32 +388,32 @@
 	}
 }
 
-// A newer owner has claimed the shard; an order of the old one arrives late on
-// another connection. Started, the task would run beside the new owner's start.
+// A newer owner has claimed the shard, and an order of the old one arrives late on another
+// connection. Started here, the task would run beside the new owner's run of it.
 func TestOrderOfAnEarlierOwnerIsDropped(t *testing.T) {
 	f := newFixture(t)
 	f.is.True(!f.claim(1, 5, 1).Refused)
 	f.is.True(!f.claim(1, 6, 1).Refused)
-	f.is.True(f.claim(1, 5, 2).Refused) // the old owner's next claim is refused
+	f.is.True(f.claim(1, 5, 2).Refused) // a later claim of the old owner is refused
 	o := f.order(0)
 	o.Shard, o.Epoch = 1, 5
 	fx := f.take(f.Order(f.now, o))
 	f.is.Equal(len(fx.Starts)+len(fx.Events), 0)
 }
 
-// The host is suspended for longer than an owner may be silent. On its return
-// an order that waited in the socket must not start anything: the next owner
-// counts on the silence and has started the task elsewhere.
+// The host is suspended for longer than an owner may be silent. After the suspension an order
+// that waited in the socket must not start anything: the next owner relies on the silence limit
+// and has started the task elsewhere.
 func TestOrderAfterASuspensionIsDropped(t *testing.T) {
 	f := newFixture(t)
 	f.pass(testBounds.OwnerSilence)
 	fx := f.take(f.Order(f.now, f.order(0)))
 	f.is.Equal(len(fx.Starts), 0)
-	f.is.True(!f.Heard(f.now, "owner-"+strconv.Itoa(private))) // it has to claim anew
+	f.is.True(!f.Heard(f.now, "owner-"+strconv.Itoa(private))) // the owner has to claim again
 }
 
-// The owner is cut off. Its runs are stopped here in a bounded time, since the
-// next owner waits just that long before it starts them elsewhere.
+// The owner is cut off. Its runs are stopped here within a time limit, since the next owner
+// waits exactly that long before it starts their tasks elsewhere.
 func TestRunsOfASilentOwnerAreStopped(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
@@ -426,9 +427,9 @@
 	f.is.Equal(len(f.Tick(f.now).Stops), 1)
 }
 
-// An entry is killed with best-effort jobs under way. Its clients see their
-// connections break, and send the jobs again 1.3 s later to another entry, which
-// starts the tasks at once: the first runs must be over by then.
+// An entry is killed while best-effort jobs are active. Its clients see their connections break
+// and submit the jobs again to another entry 1.3 s later, which starts the tasks at once. The
+// first runs must be over by then.
 func TestRunsOfALostLinkAreStoppedSooner(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
@@ -437,32 +438,32 @@
 		f.pass(100 * time.Millisecond)
 		f.hold()
 	}
-	f.is.Equal(len(f.stops), 0) // the owner may be back
+	f.is.Equal(len(f.stops), 0) // the owner may reconnect
 	f.pass(100 * time.Millisecond)
 	f.take(f.Tick(f.now))
 	f.is.Equal(len(f.stops), 1)
 	f.is.True(!f.Heard(f.now, "owner-"+strconv.Itoa(private)))
 }
 
-// The agent has restarted and finds a run that its earlier life started. It
-// does not know what the run takes of the worker, so nothing may start beside
-// it. Its owner finds it by the claim and repeats the order.
+// The agent has restarted and finds a run from before the restart. It does not know how much
+// capacity the run takes, so nothing may start beside it. The run's owner learns of it through
+// its claim and repeats the order.
 func TestRunOfAnEarlierLifeIsAdopted(t *testing.T) {
 	f := newFixture(t)
 	o := f.order(0)
 	f.alive[o.Run] = true
 	f.hold()
 	fx := f.take(f.Order(f.now, f.order(1)))
-	f.is.Equal(len(fx.Starts), 0) // its size is not known
+	f.is.Equal(len(fx.Starts), 0) // the demand of the found run is unknown
 	found := f.claim(private, 1, 1)
 	f.is.Equal(len(found.Runs), 2)
 	fx = f.take(f.Order(f.now, o))
-	f.is.Equal(len(fx.Starts), 1) // the order that waited
+	f.is.Equal(len(fx.Starts), 1) // the waiting order starts
 }
 
-// An earlier life's run of a recorded job has ended. An owner of another shard
-// claims first: shown that end, it would have it acknowledged as nobody's, and
-// the job's owner would start the task again.
+// A run from before the agent's restart has ended, and its job is recorded. If the owner of
+// another shard claimed first and were told of that end, it would settle it as unknown and have
+// it acknowledged, and the job's owner would start the task again.
 func TestEndIsShownOnlyToTheOwnerOfItsShard(t *testing.T) {
 	f := newFixture(t)
 	o := f.order(0)
@@ -475,9 +476,9 @@
 	f.is.Equal(len(f.claim(shard, 1, 1).Runs), 1)
 }
 
-// Nobody knows a run that an earlier life started: that life ran its job itself.
-// It is stopped before the client's next try starts the task elsewhere, which
-// comes 1.8 s after the loss, of which the restart may take the lease's second.
+// No owner knows a run from before the agent's restart, because the previous incarnation was
+// itself the owner of its job. The run is stopped before the client's retry starts the task
+// elsewhere, 1.8 s after the loss, of which the restart may take up to the second of the lease.
 func TestRunThatNobodyKnowsIsStopped(t *testing.T) {
 	f := newFixture(t)
 	f.alive[f.order(0).Run] = true
@@ -490,8 +491,8 @@
 	f.is.Equal(len(f.stops), 1)
 }
 
-// An earlier life's run has ended before its owner repeats the order. The end
-// was told to nobody who knows the job; without a repeat the job would hang.
+// A run from before the agent's restart ends before its owner repeats the order. The end was
+// reported to no owner that knows the job, so it must be reported again, or the job never ends.
 func TestEndBeforeAdoptionIsTold(t *testing.T) {
 	f := newFixture(t)
 	o := f.order(0)
@@ -505,8 +506,8 @@
 	f.is.Equal(f.got[0].Shard, private)
 }
 
-// The owner has started the task anew after this end, so it must never count.
-// The lease is let run out before anything behind the end is acknowledged.
+// The owner has started the task again after this end, so the end must never count. The lease
+// must expire before this end or a later one is acknowledged.
 func TestVoidEndIsAcknowledgedOnlyAfterTheLease(t *testing.T) {
 	f := newFixture(t)
 	f.claim(recorded, 1, 1)
@@ -526,10 +527,10 @@
 	f.is.Equal(f.hold().Acked, int64(1))
 }
 
-// A run of a best-effort job has ended, and its owner settles the end with its next
-// frame, up to 150 ms later. The backend server answers holds at once while it
-// lists an end, so the agent would ask it hundreds of times a second for nothing.
-// The end is acknowledged with the next hold, and kept for an owner that links anew.
+// A run of a best-effort job has ended, and its owner settles the end with its next frame, up
+// to 150 ms later. The backend server answers holds at once while it lists an end, so the agent
+// would call it hundreds of times a second without need. The end is acknowledged with the next
+// hold, and kept for an owner that reconnects.
 func TestEndOfABestEffortJobIsAcknowledgedAtOnce(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
@@ -540,13 +541,13 @@
 	f.is.Equal(c.Acked, int64(1))
 	f.is.True(!c.Known)
 	runs := f.claim(private, 1, 2).Runs
-	f.is.Equal(len(runs), 1) // its owner may not have heard of it
+	f.is.Equal(len(runs), 1) // its owner may not know of it
 	f.is.Equal(runs[0].End, job.Done)
 	f.Settled(f.order(0).Run, false)
 	f.is.Equal(len(f.claim(private, 1, 3).Runs), 0)
 }
 
-// The same with an owner that is gone for good: nothing is left of the end.
+// As above, but the owner does not return. Its end must not be kept forever.
 func TestAcknowledgedEndOfALostOwnerIsForgotten(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
@@ -557,8 +558,8 @@
 	f.is.Equal(len(f.claim(private, 1, 2).Runs), 0)
 }
 
-// The end of a recorded job's run waits for its record. While the backend server
-// lists it, holds bring nothing new, and the driver has to know.
+// The end of a recorded job's run waits for the job's record. While the backend server lists
+// that end, holds return at once without news, and the call tells the driver so.
 func TestHoldTellsOfEndsThatWaitForTheirRecord(t *testing.T) {
 	f := newFixture(t)
 	f.claim(recorded, 1, 1)
@@ -576,8 +577,8 @@
 	f.is.True(!c.Known)
 }
 
-// The backend server can't be reached. Its room is free, and the runs are lost,
-// only when the lease has expired on a clock that runs 2 % slow.
+// The backend server is unreachable. Its capacity is free, and its runs are lost, only when the
+// lease has expired on a clock that runs 2 % slow.
 func TestUnreachableServerKeepsRoomUntilItsLeaseHasExpired(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
@@ -590,9 +591,9 @@
 	f.is.Equal(f.ended()[0].End, job.Lapsed)
 }
 
-// The backend server has crashed and refuses connections. No hold reaches it, so
-// its lease runs out; taken for extended with each try, its tasks would be at
-// work until a new instance reports, and their jobs would wait for that.
+// The backend server has crashed and refuses connections. No hold reaches it, so its lease
+// expires. If each attempt counted as an extension, its runs would seem active until a new
+// instance reports, and their jobs would wait for that.
 func TestCrashedServerLosesItsRunsWithItsLease(t *testing.T) {
 	for _, why := range []HoldFailure{NotSent, NoAnswer} {
 		f := newFixture(t)
@@ -617,16 +618,15 @@
 		f.send(f.order(i))
 	}
 	f.report("i-1", 2, true)
-	f.is.Equal(f.ended()[0].Reason, "draining") // the order that waited goes back
+	f.is.Equal(f.ended()[0].Reason, "draining") // the waiting order is returned
 	fx := f.take(f.Order(f.now, f.order(3)))
 	f.is.Equal(len(fx.Starts), 0)
-	f.report("i-1", 1, false) // a report that was held up on its way
+	f.report("i-1", 1, false) // a delayed report
 	f.is.True(!f.Load(f.now).Accepts)
 }
 
-// All hosts had no power. An agent answers no claim before it has seen the
-// lists, and nobody is served until then, so its first look must not wait for
-// an end that may not come.
+// All hosts lost power. An agent answers no claim before it has seen its server's lists, and no
+// job is served until then, so its first hold must not wait for an end that may never come.
 func TestFirstLookWaitsForNothing(t *testing.T) {
 	f := newFixture(t)
 	f.is.True(!f.Ready(0))
@@ -636,8 +636,8 @@
 	f.is.True(!f.hold().First)
 }
 
-// The agent stops as planned. What waits goes back and nothing new is taken,
-// also after the backend server's next report; what runs goes on to its end.
+// The agent stops as planned. Waiting orders are returned and no new ones are accepted, not
+// even after the backend server's next report. Running tasks go on to their end.
 func TestStoppingAgentTakesNothingNew(t *testing.T) {
 	f := newFixture(t)
 	for i := range 3 {
@@ -660,9 +660,9 @@
 	f.is.True(empty)
 }
 
-// A backend server has crashed and a new instance reports. The old one's silence
-// says nothing of it: it would stand idle until the next hold, which waits for an
-// end that can't come, has returned.
+// A backend server has crashed and a new instance reports. The unanswered holds of the old
+// instance must not count against the new one, which would be idle until the next hold has
+// returned; that hold waits for an end that cannot come.
 func TestNewInstanceGetsWorkAtOnce(t *testing.T) {
 	f := newFixture(t)
 	c, _ := f.Hold(f.now)
@@ -681,8 +681,8 @@
 	f.is.Equal(f.Load(f.now).Running, 0)
 }
 
-// A backend server fails all that it starts. It looks free, and would fail the
-// last attempt of one job after another.
+// A backend server fails every task that it starts. It looks free and would fail the last
+// attempt of one job after another.
 func TestServerThatFailsEverythingIsSuspended(t *testing.T) {
 	f := newFixture(t)
 	for i := range failuresInRow {
@@ -694,11 +694,11 @@
 	f.pass(suspension)
 	f.Heard(f.now, "owner-"+strconv.Itoa(private))
 	f.take(f.Tick(f.now))
-	f.is.True(f.Load(f.now).Accepts) // it is tried again
+	f.is.True(f.Load(f.now).Accepts) // the server is tried again
 }
 
-// Tasks that may not be repeated take far longer than expected. The caller's
-// job must not fail because the agent has stopped them: they are left to end.
+// Tasks that may not be repeated take far longer than estimated. If the agent stopped them, the
+// caller's job would fail, so they are left to end.
 func TestOverdueRunThatMayNotBeRepeatedGoesOn(t *testing.T) {
 	f := newFixture(t)
 	f.report("i-1", 2, false)
@@ -715,9 +715,9 @@
 	f.is.Equal(len(f.ended()), 0)
 }
 
-// A backend server dies with a task that may not be repeated, and the owner that
-// is told of it dies before it has written that down. The next owner asks the
-// agent: it must find the loss, or it would start the task a second time.
+// A backend server dies with a task that may not be repeated, and the owner that is told of the
+// loss dies before it has recorded it. The next owner's claim must return the loss, or that
+// owner would start the task a second time.
 func TestLossOfARunThatMayNotBeRepeatedIsKept(t *testing.T) {
 	f := newFixture(t)
 	f.claim(1, 5, 1)
@@ -733,13 +733,12 @@
 	f.is.Equal(got.Runs[0].Run, once.Run)
 	f.is.Equal(got.Runs[0].End, job.Lapsed)
 	f.Settled(once.Run, false)
-	f.is.Equal(len(f.claim(1, 7, 1).Runs), 0) // it is written down now
+	f.is.Equal(len(f.claim(1, 7, 1).Runs), 0) // the loss is recorded now
 }
 
-// The host was suspended for longer than the lease. Right after it an order comes
-// in and its run ends before the backend server's lists were seen again. That
-// end is news: taken for one of the runs that lapsed, nobody would ever hear of
-// it, and its job would wait for ever.
+// The host was suspended for longer than the lease. Right afterwards an order arrives, and its
+// run ends before the backend server's lists were seen again. That end must be reported: taken
+// for an end of a run that lapsed, it would reach no owner, and its job would never end.
 func TestRunStartedAfterTheLeaseHasRunOutIsTold(t *testing.T) {
 	f := newFixture(t)
 	f.claim(1, 5, 1)
@@ -759,13 +758,13 @@
 	f.hold()
 	f.is.Equal(len(f.ended()), 2)
 	f.is.Equal(f.ended()[1].Run, second.Run)
-	f.is.Equal(f.hold().Acked, int64(1)) // the second awaits its owner
+	f.is.Equal(f.hold().Acked, int64(1)) // the second end waits for its owner
 }
 
-// An owner makes its link anew, is told of a run, and repeats the order so that
-// the agent knows what the run takes. Meanwhile the backend server was replaced:
-// the owner is told that the run is lost and starts it elsewhere. The order that
-// comes in now must not start it here as well.
+// An owner reconnects, is told of a run, and repeats the order so that the agent knows the
+// run's demand. Meanwhile the backend server was replaced: the owner is told that the run is
+// lost and starts the task elsewhere. The repeated order that arrives now must not start it
+// here as well.
 func TestRepeatedOrderStartsNothing(t *testing.T) {
 	f := newFixture(t)
 	o := f.order(0)
@@ -777,10 +776,10 @@
 	f.is.Equal(len(f.claim(private, 1, 2).Runs), 0)
 }
 
-// An owner gives a shard up while its link is down, so that the agent doesn't hear of it,
-// and nobody else claims the shard there. Each frame of the owner's next link was taken
-// for one of a silent owner: the link ended with its first frame, for a minute, and
-// nothing of the owner's other shards was placed here.
+// An owner gives a shard up while its link is down, so that the agent does not learn of it, and
+// no other owner claims the shard at this agent. Each frame of the owner's next link was taken
+// for one of a silent owner: for a minute each link ended with its first frame, and nothing of
+// the owner's other shards was placed here.
 func TestShardGivenUpUnheardEndsNoLink(t *testing.T) {
 	f := newFixture(t)
 	own := func(shard int, session int64) Claim {
@@ -789,9 +788,9 @@
 	f.Claim(f.now, own(1, 1))
 	f.Claim(f.now, own(2, 1))
 	f.pass(2 * testBounds.OwnerSilence)
-	f.is.True(!f.Heard(f.now, "owner")) // what a healed link delivers late revives nothing
+	f.is.True(!f.Heard(f.now, "owner")) // a late frame after the link recovered must not revive the claims
 
-	f.Claim(f.now, own(1, 2)) // it has shard 2 no more
+	f.Claim(f.now, own(1, 2)) // shard 2 was given up
 	for range 20 {
 		f.is.True(f.Heard(f.now, "owner"))
 		f.pass(100 * time.Millisecond)
