--- a/coordination/drains/drains.go
+++ b/coordination/drains/drains.go
@@ -34,70 +34,70 @@
 	return found
 }
 
-// Book holds the newest drain state that a process knows. It is safe for concurrent use.
-type Book struct {
+// Tracker holds the newest drain state that a process knows. It is safe for concurrent use.
+type Tracker struct {
 	mu sync.Mutex
 	// known is the newest state. Guarded by mu.
 	known State
-	// asOf is when the store last confirmed that known is the newest state. Guarded by mu.
-	asOf time.Duration
+	// confirmedAt is when the store last confirmed that known is the newest state. Guarded by mu.
+	confirmedAt time.Duration
 }
 
 // State returns the newest known state.
-func (b *Book) State() State {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.known
+func (t *Tracker) State() State {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.known
 }
 
 // Latest returns the newest known state and how long ago the store confirmed it.
-func (b *Book) Latest(now time.Duration) (State, time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.known, now - b.asOf
+func (t *Tracker) Latest(now time.Duration) (State, time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.known, now - t.confirmedAt
 }
 
-// Told merges a state that the store confirmed age ago; it comes from the store or from another
-// process. It reports whether the set of drained domains changed.
-func (b *Book) Told(now time.Duration, s State, age time.Duration) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s.Position == 0 || s.Position < b.known.Position {
+// Update merges a state that the store confirmed age ago; it comes from the store or from
+// another process. It reports whether the set of drained domains changed.
+func (t *Tracker) Update(now time.Duration, s State, age time.Duration) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s.Position == 0 || s.Position < t.known.Position {
 		// A process that has lost the store may still send an older state. Accepting it
 		// would send work to a drained domain.
 		return false
 	}
-	b.asOf = max(b.asOf, now-max(age, 0))
-	if s.Position == b.known.Position {
+	t.confirmedAt = max(t.confirmedAt, now-max(age, 0))
+	if s.Position == t.known.Position {
 		return false
 	}
-	changed := !slices.Equal(s.Domains, b.known.Domains)
-	b.known = s
+	changed := !slices.Equal(s.Domains, t.known.Domains)
+	t.known = s
 	return changed
 }
 
-// Reader applies the operators' records to a Book. It is not safe for concurrent use.
-type Reader struct {
-	book    *Book
+// Replayer applies the operators' records to a Tracker. It is not safe for concurrent use.
+type Replayer struct {
+	tracker *Tracker
 	domains map[string]bool
 }
 
-// NewReader returns a Reader that continues from the book's state.
-func NewReader(b *Book) *Reader {
-	r := &Reader{book: b, domains: make(map[string]bool)}
-	for _, domain := range b.State().Domains {
+// NewReplayer returns a Replayer that continues from the tracker's state.
+func NewReplayer(t *Tracker) *Replayer {
+	r := &Replayer{tracker: t, domains: make(map[string]bool)}
+	for _, domain := range t.State().Domains {
 		r.domains[domain] = true
 	}
 	return r
 }
 
-// Begin discards what was read, before the newest record of each domain is read again. A drain
+// Reset discards what was read, before the newest record of each domain is read again. A drain
 // may have ended while nothing was read, and the record of that may be gone from the store's
 // history.
-func (r *Reader) Begin() { clear(r.domains) }
+func (r *Replayer) Reset() { clear(r.domains) }
 
 // Apply applies one record.
-func (r *Reader) Apply(c Change) {
+func (r *Replayer) Apply(c Change) {
 	if c.Drained {
 		r.domains[c.Domain] = true
 		return
@@ -105,8 +105,8 @@
 	delete(r.domains, c.Domain)
 }
 
-// Reached updates the book with the state at a position, once the store has returned all
+// Publish updates the tracker with the state at a position, once the store has returned all
 // records before it. It reports whether the set of drained domains changed.
-func (r *Reader) Reached(now time.Duration, position int64) bool {
-	return r.book.Told(now, State{Position: position, Domains: slices.Sorted(maps.Keys(r.domains))}, 0)
+func (r *Replayer) Publish(now time.Duration, position int64) bool {
+	return r.tracker.Update(now, State{Position: position, Domains: slices.Sorted(maps.Keys(r.domains))}, 0)
 }
--- a/coordination/model/agent_test.go
+++ b/coordination/model/agent_test.go
@@ -46,7 +46,7 @@
 	a.w.trace("- %s life %d begins", a.name, a.life)
 	a.worker = worker.New(a.w.workerBounds())
 	a.caller = nil
-	a.drains = drainView{book: &drains.Book{}}
+	a.drains = drainView{book: &drains.Tracker{}}
 	a.born = a.w.now
 	a.exec.report()
 	life := a.life
--- a/coordination/model/drain_test.go
+++ b/coordination/model/drain_test.go
@@ -40,19 +40,19 @@
 
 // drainView is what a process knows of drains.
 type drainView struct {
-	book *drains.Book
+	book *drains.Tracker
 	// blind is the time until which the process does not reach the store.
 	blind time.Duration
 }
 
 // read takes in all that operators have written, as of a time.
 func (v *drainView) read(w *world, now time.Duration) bool {
-	r := drains.NewReader(v.book)
-	r.Begin()
+	r := drains.NewReplayer(v.book)
+	r.Reset()
 	for _, c := range w.drains.changes {
 		r.Apply(c)
 	}
-	return r.Reached(now, int64(len(w.drains.changes))+1)
+	return r.Publish(now, int64(len(w.drains.changes))+1)
 }
 
 // followDrains has an owner read the store while it reaches it.
@@ -79,7 +79,7 @@
 }
 
 func (a *agentModel) hearDrains(s drains.State, age time.Duration) {
-	if a.drains.book.Told(a.w.now, s, age) {
+	if a.drains.book.Update(a.w.now, s, age) {
 		a.actOnDrains()
 	}
 }
--- a/coordination/model/owner_test.go
+++ b/coordination/model/owner_test.go
@@ -43,7 +43,7 @@
 }
 
 func newOwner(w *world, name string, epoch int64) *ownerModel {
-	o := &ownerModel{w: w, name: name, fleet: owner.NewFleet(1, anyLoad()), links: make(map[*agentModel]*link), drains: drainView{book: &drains.Book{}}}
+	o := &ownerModel{w: w, name: name, fleet: owner.NewFleet(1, anyLoad()), links: make(map[*agentModel]*link), drains: drainView{book: &drains.Tracker{}}}
 	var mayRun []string
 	if w.m != agentsNotNamed {
 		mayRun = slices.Clone(w.store.agents)
--- a/daemon/core/drains.go
+++ b/daemon/core/drains.go
@@ -33,7 +33,7 @@
 // DrainWatch is what a process knows of drains, and acts on a change.
 type DrainWatch struct {
 	source  DrainSource
-	book    drains.Book
+	book    drains.Tracker
 	changed func(drains.State)
 	// acting keeps changes in their order: an older state that went into force after a newer
 	// one would stay.
@@ -67,7 +67,7 @@
 		return
 	}
 	state, age := wire.DrainsFromWire(p)
-	if w.book.Told(bootclock.Now(), state, age) {
+	if w.book.Update(bootclock.Now(), state, age) {
 		w.act("told")
 	}
 }
@@ -84,10 +84,10 @@
 // Follow keeps the watch up to date from the store until the context ends. Other gets each
 // record of the partition as well, if it is set.
 func (w *DrainWatch) Follow(ctx context.Context, st store.Store, name string, other func(store.Record)) {
-	reader := drains.NewReader(&w.book)
+	reader := drains.NewReplayer(&w.book)
 	f := &follower{
 		store: st, partition: w.source.Partition, wait: ConfigWait, name: name,
-		begin: reader.Begin, reached: func(position int64) { w.reached(reader, position) },
+		begin: reader.Reset, reached: func(position int64) { w.reached(reader, position) },
 		apply: func(r store.Record) {
 			if other != nil {
 				other(r)
@@ -102,7 +102,7 @@
 func (w *DrainWatch) Partition() store.Partition { return w.source.Partition }
 
 // apply hands a record to a reader, if it is one of a drain.
-func (w *DrainWatch) apply(to *drains.Reader, r store.Record) {
+func (w *DrainWatch) apply(to *drains.Replayer, r store.Record) {
 	change, ok, err := w.source.Decode(r)
 	if err != nil {
 		metrics.Malformed(metrics.KindDrain)
@@ -115,8 +115,8 @@
 }
 
 // reached notes how far the records were read.
-func (w *DrainWatch) reached(r *drains.Reader, position int64) {
-	if r.Reached(bootclock.Now(), position) {
+func (w *DrainWatch) reached(r *drains.Replayer, position int64) {
+	if r.Publish(bootclock.Now(), position) {
 		w.act("store")
 	}
 }
@@ -125,10 +125,10 @@
 func (w *DrainWatch) Look(ctx context.Context, st store.Store) error {
 	ctx, cancel := context.WithTimeout(ctx, StoreTimeout)
 	defer cancel()
-	reader := drains.NewReader(&w.book)
+	reader := drains.NewReplayer(&w.book)
 	records, next, err := w.since(ctx, st, w.book.State().Position)
 	if errors.Is(err, store.ErrTrimmed) {
-		reader.Begin()
+		reader.Reset()
 		records, next, err = st.Newest(ctx, w.source.Partition)
 	}
 	if err != nil {
