--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -17,9 +17,9 @@
 	PerSecond int
 }
 
-// Table tracks the usage of each operator at one entry. Each entry enforces an equal part of
+// Limiter tracks the usage of each operator at one entry. Each entry enforces an equal part of
 // every quota. It is safe for concurrent use.
-type Table struct {
+type Limiter struct {
 	entries int
 
 	mu    sync.Mutex
@@ -32,39 +32,39 @@
 	// tokens is the number of tasks that may be accepted now. A job is accepted as a whole while
 	// any token is left and may make the balance negative; otherwise a job with more tasks than
 	// one second's quota would never be accepted.
-	tokens float64
-	filled time.Duration
+	tokens     float64
+	refilledAt time.Duration
 	// recent counts the tasks accepted within the last second. The tokens alone would allow twice
 	// the quota within one second at the end of a pause.
 	recent sliding.Window
 }
 
 // New returns the Table of one entry out of the given number of entries.
-func New(entries int) *Table {
-	return &Table{entries: max(1, entries), usage: make(map[string]*usage)}
+func New(entries int) *Limiter {
+	return &Limiter{entries: max(1, entries), usage: make(map[string]*usage)}
 }
 
 // Take charges tasks to an operator. If a limit is exceeded, it charges nothing and returns
 // false and the time after which to try again.
-func (t *Table) Take(now time.Duration, operator string, l Limits, tasks int) (time.Duration, bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	rate := float64(l.PerSecond) / float64(t.entries)
-	u := t.usage[operator]
+func (l *Limiter) Take(now time.Duration, operator string, limits Limits, tasks int) (time.Duration, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	rate := float64(limits.PerSecond) / float64(l.entries)
+	u := l.usage[operator]
 	if u == nil {
-		u = &usage{tokens: rate, filled: now, recent: sliding.Window{Span: time.Second}}
-		t.usage[operator] = u
+		u = &usage{tokens: rate, refilledAt: now, recent: sliding.Window{Span: time.Second}}
+		l.usage[operator] = u
 	}
-	u.fill(now, rate)
+	u.refill(now, rate)
 	if u.tokens <= 0 {
 		return time.Duration((1 - u.tokens) / rate * float64(time.Second)), false
 	}
 	// A job larger than one second's quota fits into no second. It is accepted, and the negative
 	// token balance delays the jobs after it.
-	if most := int(rate) - tasks; most >= 0 && u.recent.Sum(now) > most {
-		return u.recent.Wait(now, most), false
+	if maxRecent := int(rate) - tasks; maxRecent >= 0 && u.recent.Sum(now) > maxRecent {
+		return u.recent.Wait(now, maxRecent), false
 	}
-	if room := float64(l.InFlight) / float64(t.entries); float64(u.inFlight+tasks) > room {
+	if maxInFlight := float64(limits.InFlight) / float64(l.entries); float64(u.inFlight+tasks) > maxInFlight {
 		return time.Second, false
 	}
 	u.tokens -= float64(tasks)
@@ -73,18 +73,18 @@
 	return 0, true
 }
 
-// fill adds the tokens earned since the last call, up to one second's quota.
-func (u *usage) fill(now time.Duration, rate float64) {
-	u.tokens = min(rate, u.tokens+(now-u.filled).Seconds()*rate)
-	u.filled = now
+// refill adds the tokens earned since the last call, up to one second's quota.
+func (u *usage) refill(now time.Duration, rate float64) {
+	u.tokens = min(rate, u.tokens+(now-u.refilledAt).Seconds()*rate)
+	u.refilledAt = now
 }
 
 // Refund reverses a Take for a submission of a job that was already known: a resubmission is
 // not charged to the quota.
-func (t *Table) Refund(operator string, tasks int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if u := t.usage[operator]; u != nil {
+func (l *Limiter) Refund(operator string, tasks int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if u := l.usage[operator]; u != nil {
 		u.inFlight -= tasks
 		u.tokens += float64(tasks)
 		u.recent.Forget(tasks)
@@ -92,10 +92,10 @@
 }
 
 // Release returns tasks that have been answered.
-func (t *Table) Release(operator string, tasks int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if u := t.usage[operator]; u != nil {
+func (l *Limiter) Release(operator string, tasks int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if u := l.usage[operator]; u != nil {
 		u.inFlight -= tasks
 	}
 }
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -10,7 +10,7 @@
 // A job of 1,000 tasks is submitted under a quota of 400 per second and is accepted. The next
 // job gets an accurate retry delay: not before the first job's tokens are earned back, and not
 // much later.
-func TestLargeJobIsPaidOff(t *testing.T) {
+func TestLargeJobIsAcceptedAndDelaysTheNext(t *testing.T) {
 	is := is.New(t)
 	q := New(1)
 	l := Limits{InFlight: 2000, PerSecond: 400}
@@ -84,7 +84,7 @@
 }
 
 // A caller that retries after the returned delay must be accepted.
-func TestWaitForTheSlidingSecondIsTrue(t *testing.T) {
+func TestRetryDelayIsAccurate(t *testing.T) {
 	is := is.New(t)
 	q := New(1)
 	l := Limits{InFlight: 1 << 30, PerSecond: 100}
--- a/daemon/clients/bookings.go
+++ b/daemon/clients/bookings.go
@@ -12,7 +12,7 @@
 // share a booking: a client that sends its job again while the first try is on its way
 // would otherwise be refused for want of what that try has taken.
 type bookings struct {
-	quotas *quota.Table
+	quotas *quota.Limiter
 
 	mu   sync.Mutex
 	held map[state.JobKey]*booking // guarded by mu
