--- a/coordination/load/world_test.go
+++ b/coordination/load/world_test.go
@@ -128,11 +128,11 @@
 	}
 	out := make([][]*agent, s.entries)
 	for i := range out {
-		share := subset.Guess(fmt.Sprintf("entry-%d", i))
+		share := subset.FallbackShare(fmt.Sprintf("entry-%d", i))
 		if !s.drawn {
-			share.Numbers = nil
-			for n := i; n < subset.Numbers; n += s.entries {
-				share.Numbers = append(share.Numbers, n)
+			share.Buckets = nil
+			for n := i; n < subset.NumBuckets; n += s.entries {
+				share.Buckets = append(share.Buckets, n)
 			}
 		}
 		for _, name := range subset.Order(all, share)[:min(len(all), s.linksOrAll())] {
--- a/coordination/subset/subset.go
+++ b/coordination/subset/subset.go
@@ -23,22 +23,22 @@
 	Domain string
 }
 
-// Share is the subset of the buckets 0 to Of-1 that a process holds.
+// Share is the subset of the hash buckets 0 to Total-1 that a process holds.
 type Share struct {
-	Numbers []int
-	Of      int
+	Buckets []int
+	Total   int
 }
 
-// Numbers is the default number of hash buckets. It exceeds the number of processes that choose
+// NumBuckets is the default number of hash buckets. It exceeds the number of processes that choose
 // agents, so that each holds at least one, and is small enough that ranking an agent takes only
 // some microseconds.
-const Numbers = 256
+const NumBuckets = 256
 
-// Guess returns the share of a process that holds no bucket yet: one bucket, chosen by the hash
-// of its name. Two processes may choose the same bucket, so that some agents get fewer links
-// than others. The links are uneven then, but still correct.
-func Guess(name string) Share {
-	return Share{Numbers: []int{int(hash(name) % Numbers)}, Of: Numbers}
+// FallbackShare returns the share of a process that holds no bucket yet: one bucket, chosen by
+// the hash of its name. Two processes may choose the same bucket, so that some agents get fewer
+// links than others. The links are uneven then, but still correct.
+func FallbackShare(name string) Share {
+	return Share{Buckets: []int{int(hash(name) % NumBuckets)}, Total: NumBuckets}
 }
 
 // Order returns the names of the agents in the order in which a process with this share prefers
@@ -50,16 +50,16 @@
 		byDomain[a.Domain] = append(byDomain[a.Domain], rank(a, share))
 	}
 	all := make([]ranked, 0, len(agents))
-	for _, of := range byDomain {
-		slices.SortFunc(of, compareRanks)
-		for i := range of {
-			of[i].place = (float64(i) + 0.5) / float64(len(of))
+	for _, group := range byDomain {
+		slices.SortFunc(group, compareRanks)
+		for i := range group {
+			group[i].quantile = (float64(i) + 0.5) / float64(len(group))
 		}
-		all = append(all, of...)
+		all = append(all, group...)
 	}
 	slices.SortFunc(all, func(a, b ranked) int {
-		if a.place != b.place {
-			return cmp.Compare(a.place, b.place)
+		if a.quantile != b.quantile {
+			return cmp.Compare(a.quantile, b.quantile)
 		}
 		return compareRanks(a, b)
 	})
@@ -75,24 +75,24 @@
 	name string
 	// rank is the number of buckets that the agent prefers to the best one of the process.
 	rank int
-	// tie orders agents of equal rank, differently for each bucket.
-	tie uint64
-	// place is the agent's relative position in its failure domain, between 0 and 1.
-	place float64
+	// tieBreak orders agents of equal rank, differently for each bucket.
+	tieBreak uint64
+	// quantile is the agent's relative position in its failure domain, between 0 and 1.
+	quantile float64
 }
 
 func compareRanks(a, b ranked) int {
-	return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(b.tie, a.tie), cmp.Compare(a.name, b.name))
+	return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(b.tieBreak, a.tieBreak), cmp.Compare(a.name, b.name))
 }
 
 func rank(a Agent, share Share) ranked {
 	seed := hash(a.Name)
 	var best uint64
-	for _, n := range share.Numbers {
+	for _, n := range share.Buckets {
 		best = max(best, weight(seed, n))
 	}
-	r := ranked{name: a.Name, tie: best}
-	for n := range share.Of {
+	r := ranked{name: a.Name, tieBreak: best}
+	for n := range share.Total {
 		if weight(seed, n) > best {
 			r.rank++
 		}
@@ -101,7 +101,7 @@
 }
 
 // weight returns how strongly an agent prefers a bucket, its rendezvous hash.
-func weight(seed uint64, number int) uint64 { return mix(seed ^ mix(uint64(number)+1)) }
+func weight(seed uint64, bucket int) uint64 { return mix(seed ^ mix(uint64(bucket)+1)) }
 
 func hash(s string) uint64 {
 	h := fnv.New64a()
--- a/coordination/subset/subset_test.go
+++ b/coordination/subset/subset_test.go
@@ -20,22 +20,22 @@
 	return out
 }
 
-// deal distributes the buckets evenly, as the store's groups do.
-func deal(processes int) []Share {
+// evenShares distributes the buckets evenly, as the store's groups do.
+func evenShares(processes int) []Share {
 	out := make([]Share, processes)
-	for n := range Numbers {
-		out[n%processes].Numbers = append(out[n%processes].Numbers, n)
+	for n := range NumBuckets {
+		out[n%processes].Buckets = append(out[n%processes].Buckets, n)
 	}
 	for i := range out {
-		out[i].Of = Numbers
+		out[i].Total = NumBuckets
 	}
 	return out
 }
 
-func guesses(processes int) []Share {
+func fallbackShares(processes int) []Share {
 	out := make([]Share, processes)
 	for i := range out {
-		out[i] = Guess(fmt.Sprintf("entry-%d", i))
+		out[i] = FallbackShare(fmt.Sprintf("entry-%d", i))
 	}
 	return out
 }
@@ -45,8 +45,8 @@
 	return order[:min(size, len(order))]
 }
 
-// degrees counts the processes that link each agent.
-func degrees(all []Agent, shares []Share) map[string]int {
+// linkCounts counts the processes that link each agent.
+func linkCounts(all []Agent, shares []Share) map[string]int {
 	out := make(map[string]int)
 	for _, s := range shares {
 		for _, name := range choose(all, s) {
@@ -56,11 +56,11 @@
 	return out
 }
 
-func spread(all []Agent, degree map[string]int) (least, most int, deviation float64) {
+func spread(all []Agent, links map[string]int) (least, most int, deviation float64) {
 	least = math.MaxInt
 	var sum, squares float64
 	for _, a := range all {
-		d := degree[a.Name]
+		d := links[a.Name]
 		least, most = min(least, d), max(most, d)
 		sum += float64(d)
 		squares += float64(d * d)
@@ -79,25 +79,25 @@
 	is := is.New(t)
 	for _, f := range fleets {
 		all := agents(f.agents, f.domains)
-		least, most, dev := spread(all, degrees(all, deal(f.processes)))
-		gLeast, gMost, gDev := spread(all, degrees(all, guesses(f.processes)))
-		t.Logf("%d entries, %d agents: links per agent %d to %d (deviation %.2f), with fallback shares %d to %d (%.2f)", f.processes, f.agents, least, most, dev, gLeast, gMost, gDev)
+		least, most, dev := spread(all, linkCounts(all, evenShares(f.processes)))
+		fallbackLeast, fallbackMost, fallbackDev := spread(all, linkCounts(all, fallbackShares(f.processes)))
+		t.Logf("%d entries, %d agents: links per agent %d to %d (deviation %.2f), with fallback shares %d to %d (%.2f)", f.processes, f.agents, least, most, dev, fallbackLeast, fallbackMost, fallbackDev)
 		is.True(least >= min(f.processes, 2))
-		is.True(dev <= gDev)
+		is.True(dev <= fallbackDev)
 	}
 }
 
 // A fleet that is smaller than a subset is linked completely.
-func TestSmallFleetIsLinkedWhole(t *testing.T) {
+func TestSmallFleetIsLinkedCompletely(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(choose(agents(11, 3), deal(3)[0])), 11)
+	is.Equal(len(choose(agents(11, 3), evenShares(3)[0])), 11)
 }
 
 // When a failure domain is lost, every process keeps the same part of its subset.
-func TestDomainsHaveTheirPartOfEachSubset(t *testing.T) {
+func TestSubsetsHoldDomainsInProportion(t *testing.T) {
 	is := is.New(t)
 	all := agents(160, 5)
-	for _, s := range slices.Concat(deal(35), guesses(35)) {
+	for _, s := range slices.Concat(evenShares(35), fallbackShares(35)) {
 		count := make(map[string]int)
 		for _, name := range choose(all, s) {
 			i := slices.IndexFunc(all, func(a Agent) bool { return a.Name == name })
@@ -123,10 +123,10 @@
 // An agent is removed, part of a failure domain is lost, and a process leaves so that its
 // buckets go to others. Few of the remaining links may move: each moved link costs a new
 // connection and starts without a known load.
-func TestChangesMoveTheirShare(t *testing.T) {
+func TestChangesMoveFewLinks(t *testing.T) {
 	is := is.New(t)
 	all := agents(160, 5)
-	shares := deal(35)
+	shares := evenShares(35)
 	count := func(after []Agent, with []Share) float64 {
 		n := 0
 		for i, s := range with {
@@ -139,8 +139,8 @@
 		return a.Domain == "zone-1" && len(a.Name) == len("side-111")
 	}), shares)
 	gone := slices.Clone(shares[:34])
-	for i, n := range shares[34].Numbers {
-		gone[i] = Share{Numbers: append(slices.Clone(gone[i].Numbers), n), Of: Numbers}
+	for i, n := range shares[34].Buckets {
+		gone[i] = Share{Buckets: append(slices.Clone(gone[i].Buckets), n), Total: NumBuckets}
 	}
 	process := count(all, gone)
 	t.Logf("fraction of links moved: one agent of 160 removed %.3f, 12 of a domain of 32 removed %.3f, one process of 35 removed %.3f", one, rack, process)
@@ -156,7 +156,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		all := agents(1+random.IntN(60), 1+random.IntN(5))
-		share := deal(1 + random.IntN(40))[0]
+		share := evenShares(1 + random.IntN(40))[0]
 		order := Order(all, share)
 		is.Equal(len(order), len(all))
 		random.Shuffle(len(all), func(i, k int) { all[i], all[k] = all[k], all[i] })
@@ -169,7 +169,7 @@
 func BenchmarkOrder(b *testing.B) {
 	for _, n := range []int{11, 160, 992} {
 		all := agents(n, 4)
-		share := deal(35)[3]
+		share := evenShares(35)[3]
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
 				Order(all, share)
--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -267,9 +267,9 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.shards) == 0 {
-		return subset.Guess(a.settings.Name)
+		return subset.FallbackShare(a.settings.Name)
 	}
-	return subset.Share{Numbers: slices.Sorted(maps.Keys(a.shards)), Of: a.settings.Shards()}
+	return subset.Share{Buckets: slices.Sorted(maps.Keys(a.shards)), Total: a.settings.Shards()}
 }
 
 // Required implements linkUser: a takeover has to reach every agent that may have runs of
--- a/daemon/core/links.go
+++ b/daemon/core/links.go
@@ -81,7 +81,7 @@
 	share subset.Share
 	// added are the agents that the subset has been stretched by.
 	added   []string
-	stretch subset.Stretch
+	stretch subset.Expander
 	needs   needs
 	// drained are the failure domains in which nothing is newly started.
 	drained drains.State
@@ -110,7 +110,7 @@
 	return &LinkSet{
 		dial: dial, user: user, placer: placer, metrics: m, size: size,
 		links: make(map[string]*keptLink), known: make(map[string]Registration),
-		stretch: subset.NewStretch(size), needs: make(needs),
+		stretch: subset.NewExpander(size), needs: make(needs),
 	}
 }
 
@@ -194,7 +194,7 @@
 func (l *LinkSet) full(now time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stretch.Refused(now)
+	l.stretch.RecordRefusal(now)
 }
 
 // Drain takes in which failure domains are drained. Their agents stay linked, since what
--- a/daemon/core/links_test.go
+++ b/daemon/core/links_test.go
@@ -43,7 +43,7 @@
 func (u *fakeUser) FreeShare([]string) float64   { return u.free }
 
 func newFakeUser() *fakeUser {
-	return &fakeUser{share: subset.Guess("a"), occupied: make(map[string]bool), retired: make(map[string]bool)}
+	return &fakeUser{share: subset.FallbackShare("a"), occupied: make(map[string]bool), retired: make(map[string]bool)}
 }
 
 // newFakeLinks returns a set of so many links; zero: of all.
--- a/daemon/core/wanted.go
+++ b/daemon/core/wanted.go
@@ -67,7 +67,7 @@
 }
 
 func (l *LinkSet) orderLocked(share subset.Share) {
-	if l.order != nil && share.Of == l.share.Of && slices.Equal(share.Numbers, l.share.Numbers) {
+	if l.order != nil && share.Total == l.share.Total && slices.Equal(share.Buckets, l.share.Buckets) {
 		return
 	}
 	agents := make([]subset.Agent, 0, len(l.known))
--- a/daemon/entry/numbers.go
+++ b/daemon/entry/numbers.go
@@ -45,7 +45,7 @@
 }
 
 func newNumbers(s *settings.Settings, st store.Store) *numbers {
-	return &numbers{settings: s, store: st, share: subset.Guess(s.Name)}
+	return &numbers{settings: s, store: st, share: subset.FallbackShare(s.Name)}
 }
 
 // get returns the numbers that were dealt last, or one by the entry's name.
@@ -96,17 +96,17 @@
 	if err != nil {
 		return generation, err
 	}
-	share := subset.Share{Of: all.Size()}
+	share := subset.Share{Total: all.Size()}
 	for _, p := range m.Parts {
 		if number, ok := all.Number(p); ok {
-			share.Numbers = append(share.Numbers, number)
+			share.Buckets = append(share.Buckets, number)
 		}
 	}
-	if len(share.Numbers) > 0 {
+	if len(share.Buckets) > 0 {
 		n.set(share)
 	}
 	if m.Generation != generation {
-		klog.InfoS("The group of the entries has changed", "generation", m.Generation, "numbers", len(share.Numbers), "of", share.Of)
+		klog.InfoS("The group of the entries has changed", "generation", m.Generation, "numbers", len(share.Buckets), "of", share.Total)
 	}
 	return m.Generation, nil
 }
