--- a/coordination/owner/admission_test.go
+++ b/coordination/owner/admission_test.go
@@ -11,23 +11,24 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// effort is a fixture with a shard of best-effort jobs and one agent whose load the tests set.
-type effort struct {
+// bestEffortFixture is a fixture with a shard of best-effort jobs and one agent whose load the
+// tests set.
+type bestEffortFixture struct {
 	*fixture
-	got map[job.ID]*Verdict
+	verdicts map[job.ID]*Verdict
 }
 
-func newEffort(t *testing.T) *effort {
+func newBestEffortFixture(t *testing.T) *bestEffortFixture {
 	f := &fixture{is: is.New(t), fleet: NewFleet(1, DefaultParams()), now: time.Hour}
 	f.Shard = NewPrivate(f.now, 99, testBounds, f.fleet)
 	f.link("a", 1)
 	f.now += f.fleet.params.Arrival
-	return &effort{fixture: f, got: make(map[job.ID]*Verdict)}
+	return &bestEffortFixture{fixture: f, verdicts: make(map[job.ID]*Verdict)}
 }
 
-// room reports the agent's load to the shard: its free cores and its backlog, the time of one
-// core for the tasks that wait there.
-func (e *effort) room(free int, backlog time.Duration) {
+// setLoad reports the agent's load to the shard: its free cores and its backlog, the time of
+// one core for the tasks that wait there.
+func (e *bestEffortFixture) setLoad(free int, backlog time.Duration) {
 	l := AgentLoad{
 		Service: "desk", Capacity: job.Demand{CPUMillis: 16000, MemoryMB: 65536}, Accepts: true, Backlog: backlog, Placers: 1,
 		Free: job.Demand{CPUMillis: int64(free) * 1000, MemoryMB: 65536}, Seen: 1 << 30,
@@ -39,23 +40,24 @@
 		l.Turnover = 40 * time.Millisecond
 	}
 	e.fleet.Update(e.now, "a", l)
-	e.take(e.News(e.now))
+	e.collect(e.News(e.now))
 }
 
-// send submits a job of one-core tasks of 100 ms. Its latency objective is 220 ms, and its
-// answer is useful for 660 ms.
-func (e *effort) send(id job.ID, tasks int, patience time.Duration) *Verdict {
+// submitTasks submits a job of one-core tasks of 100 ms. Its latency objective is 220 ms, and
+// its answer is useful for 660 ms.
+func (e *bestEffortFixture) submitTasks(id job.ID, tasks int, patience time.Duration) *Verdict {
 	spec := job.Spec{BestEffort: true, Patience: patience, Steps: []job.Step{{
 		Count: tasks, Demand: job.Demand{CPUMillis: 1000}, Estimate: 100 * time.Millisecond,
 	}}}
 	p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 2, Slack: 1.6, Target: 60 * time.Millisecond, TimeLimit: 1500 * time.Millisecond}
 	got := &Verdict{Outcome: Unknown}
-	e.got[id] = got
-	e.take(e.Submit(e.now, id, spec, p, func(v Verdict) { *got = v }))
+	e.verdicts[id] = got
+	e.collect(e.Submit(e.now, id, spec, p, func(v Verdict) { *got = v }))
 	return got
 }
 
-func (e *effort) ordered(id job.ID) int {
+// orderCount returns how many orders were sent for a job's tasks.
+func (e *bestEffortFixture) orderCount(id job.ID) int {
 	n := 0
 	for _, o := range e.orders {
 		if o.What.Run.Task.Job == id {
@@ -68,22 +70,22 @@
 // The workers are full for 200 ms, so a job would end 80 ms after its objective. Its client
 // waits up to 1.5 s, and a late answer is worth a fifth of one in time, a refusal nothing. The
 // job is accepted and runs as soon as a core is free.
-func TestLateIsBetterThanNever(t *testing.T) {
-	e := newEffort(t)
-	e.room(0, 3200*time.Millisecond)
-	got := e.send("late", 1, 1500*time.Millisecond)
+func TestLateJobIsAcceptedWhileUseful(t *testing.T) {
+	e := newBestEffortFixture(t)
+	e.setLoad(0, 3200*time.Millisecond)
+	got := e.submitTasks("late", 1, 1500*time.Millisecond)
 	e.is.Equal(got.Outcome, Unknown) // no answer yet
-	e.is.Equal(e.ordered("late"), 0)
-	e.room(4, 0)
-	e.is.Equal(e.ordered("late"), 1)
+	e.is.Equal(e.orderCount("late"), 0)
+	e.setLoad(4, 0)
+	e.is.Equal(e.orderCount("late"), 1)
 }
 
 // The workers are full for longer than a late answer is useful. The job is refused at once, so
 // that its client can go elsewhere.
 func TestJobThatCannotBeOfUseIsRefusedAtOnce(t *testing.T) {
-	e := newEffort(t)
-	e.room(0, 16*700*time.Millisecond)
-	got := e.send("never", 1, 1500*time.Millisecond)
+	e := newBestEffortFixture(t)
+	e.setLoad(0, 16*700*time.Millisecond)
+	got := e.submitTasks("never", 1, 1500*time.Millisecond)
 	e.is.Equal(got.Outcome, Refused)
 	e.is.Equal(got.Reason, ReasonOverload)
 	e.is.True(got.RetryAfter > 0)
@@ -91,27 +93,27 @@
 
 // A late job waits when a job arrives that can still meet its objective. The first free core
 // goes to the second job, and the late job gets what is left.
-func TestLateJobsYield(t *testing.T) {
-	e := newEffort(t)
-	e.room(0, 3200*time.Millisecond)
-	e.send("late", 1, 0)
-	e.room(0, 160*time.Millisecond)
-	e.send("in time", 1, 0)
-	e.room(1, 0)
-	e.is.Equal(e.ordered("in time"), 1)
-	e.is.Equal(e.ordered("late"), 0)
-	e.room(4, 0)
-	e.is.Equal(e.ordered("late"), 1)
+func TestLateJobsRunAfterJobsInTime(t *testing.T) {
+	e := newBestEffortFixture(t)
+	e.setLoad(0, 3200*time.Millisecond)
+	e.submitTasks("late", 1, 0)
+	e.setLoad(0, 160*time.Millisecond)
+	e.submitTasks("in time", 1, 0)
+	e.setLoad(1, 0)
+	e.is.Equal(e.orderCount("in time"), 1)
+	e.is.Equal(e.orderCount("late"), 0)
+	e.setLoad(4, 0)
+	e.is.Equal(e.orderCount("late"), 1)
 }
 
 // No core becomes free for a late job while its answer is useful. None of its tasks has
 // started, so it can truthfully be refused, and its client is told at that point.
-func TestLateJobWithoutRoomIsGivenUpInTime(t *testing.T) {
-	e := newEffort(t)
-	e.room(0, 3200*time.Millisecond)
-	got := e.send("late", 1, 1500*time.Millisecond)
+func TestLateJobWithoutCapacityIsRefusedInTime(t *testing.T) {
+	e := newBestEffortFixture(t)
+	e.setLoad(0, 3200*time.Millisecond)
+	got := e.submitTasks("late", 1, 1500*time.Millisecond)
 	e.now += 570 * time.Millisecond
-	e.take(e.Tick(e.now))
+	e.collect(e.Tick(e.now))
 	e.is.Equal(got.Outcome, Refused)
 	e.is.Equal(len(e.orders), 0)
 	e.is.Equal(e.Lookup("late").Outcome, Absent)
@@ -120,31 +122,31 @@
 // One task of a job has been ordered when the others find no free capacity in time. A refusal
 // would claim that the job did not run, so the job goes on and is answered late.
 func TestJobThatHasBegunIsNotRefused(t *testing.T) {
-	e := newEffort(t)
-	e.room(1, 0)
-	got := e.send("begun", 3, 1500*time.Millisecond)
-	e.is.Equal(e.ordered("begun"), 1)
+	e := newBestEffortFixture(t)
+	e.setLoad(1, 0)
+	got := e.submitTasks("begun", 3, 1500*time.Millisecond)
+	e.is.Equal(e.orderCount("begun"), 1)
 	e.now += time.Second
-	e.take(e.Tick(e.now))
+	e.collect(e.Tick(e.now))
 	e.is.Equal(got.Outcome, Unknown)
-	e.room(2, 0)
-	e.is.Equal(e.ordered("begun"), 3)
+	e.setLoad(2, 0)
+	e.is.Equal(e.orderCount("begun"), 3)
 }
 
 // Tasks that were assigned to a worker at once waited there for 200 ms while another worker had
 // free capacity. They stay queued at their owner and go to the first worker with free capacity.
-func TestTaskGoesWhereThereIsRoomFirst(t *testing.T) {
-	e := newEffort(t)
+func TestTaskGoesToTheFirstFreeWorker(t *testing.T) {
+	e := newBestEffortFixture(t)
 	e.link("b", 1)
 	full := AgentLoad{Service: "desk", Capacity: job.Demand{CPUMillis: 16000, MemoryMB: 65536}, Accepts: true, Turnover: 40 * time.Millisecond}
 	e.fleet.Update(e.now, "a", full)
 	e.fleet.Update(e.now, "b", full)
-	e.send("waits", 1, 0)
+	e.submitTasks("waits", 1, 0)
 	e.is.Equal(len(e.orders), 0)
 	free := full
 	free.Free, free.Turnover = job.Demand{CPUMillis: 1000, MemoryMB: 65536}, 0
 	e.fleet.Update(e.now, "b", free)
-	e.take(e.News(e.now))
+	e.collect(e.News(e.now))
 	e.is.Equal(len(e.orders), 1)
 	e.is.Equal(e.orders[0].Node, "b")
 }
@@ -153,24 +155,24 @@
 // wait for them instead of being refused although workers could serve them. If no worker
 // appears, the jobs are refused once the time for links is over.
 func TestFirstJobsWaitForTheLinks(t *testing.T) {
-	e := newEffort(t)
+	e := newBestEffortFixture(t)
 	e.Shard = NewPrivate(e.now, 100, testBounds, e.fleet)
 	e.fleet.Lost("a")
-	served := e.send("served", 1, 0)
+	served := e.submitTasks("served", 1, 0)
 	e.is.Equal(served.Outcome, Unknown)
 	e.now += 100 * time.Millisecond
 	e.link("a", 1)
-	e.is.Equal(e.ordered("served"), 1)
+	e.is.Equal(e.orderCount("served"), 1)
 
 	e.Shard = NewPrivate(e.now, 101, testBounds, e.fleet)
 	e.fleet.Lost("a")
 	e.now += 300 * time.Millisecond
-	lost := e.send("lost", 1, 0)
+	lost := e.submitTasks("lost", 1, 0)
 	e.now += e.fleet.params.Arrival - 300*time.Millisecond
-	e.take(e.Tick(e.now))
+	e.collect(e.Tick(e.now))
 	e.is.Equal(lost.Outcome, Refused)
 	e.is.Equal(lost.Reason, ReasonNoWorker)
-	e.is.Equal(e.send("later", 1, 0).Reason, ReasonNoWorker) // refused at once
+	e.is.Equal(e.submitTasks("later", 1, 0).Reason, ReasonNoWorker) // refused at once
 }
 
 // All backend servers shrink while a job waits that fitted when it was accepted. The job waits
@@ -178,54 +180,54 @@
 // run. A job that arrives meanwhile is refused at once. When a server grows, the waiting job
 // goes there with the next load report.
 func TestJobThatFitsNowhereAnyMoreWaitsItsTime(t *testing.T) {
-	e := newEffort(t)
+	e := newBestEffortFixture(t)
 	load := AgentLoad{Service: "desk", Capacity: job.Demand{CPUMillis: 1600, MemoryMB: 65536}, Accepts: true}
 	e.fleet.Update(e.now, "a", load)
-	first := e.send("first", 1, 0)
-	second := e.send("second", 1, 0)
+	first := e.submitTasks("first", 1, 0)
+	second := e.submitTasks("second", 1, 0)
 	e.is.Equal(first.Outcome, Unknown) // both wait for free capacity
 	e.is.Equal(second.Outcome, Unknown)
 
 	shrunk := load
 	shrunk.Capacity.CPUMillis = 100
 	e.fleet.Update(e.now, "a", shrunk)
-	e.is.Equal(e.send("new", 1, 0).Reason, ReasonNoWorker)
+	e.is.Equal(e.submitTasks("new", 1, 0).Reason, ReasonNoWorker)
 	e.now += 50 * time.Millisecond
-	e.take(e.Tick(e.now))
+	e.collect(e.Tick(e.now))
 	e.is.Equal(first.Outcome, Unknown)
 
 	load.Free = load.Capacity
 	e.fleet.Update(e.now, "a", load)
-	e.take(e.News(e.now))
-	e.is.Equal(e.ordered("first"), 1)
+	e.collect(e.News(e.now))
+	e.is.Equal(e.orderCount("first"), 1)
 
 	e.fleet.Update(e.now, "a", shrunk)
 	e.now += time.Minute
-	e.take(e.Tick(e.now))
+	e.collect(e.Tick(e.now))
 	e.is.Equal(second.Outcome, Refused)
-	e.is.Equal(e.ordered("second"), 0)
+	e.is.Equal(e.orderCount("second"), 0)
 }
 
 // After a power loss half of the submissions are retries of jobs whose first attempt was cut
 // off. The patience that they name shows that their clients have waited for over a second, so
 // that most answers come too late to be useful. Such retries must not take capacity from new
 // jobs when there is none to spare, and run when there is.
-func TestRepeatsThatHaveWaitedYield(t *testing.T) {
-	e := newEffort(t)
-	e.room(16, 0)
+func TestRetriesThatWaitedDoNotDisplaceNewJobs(t *testing.T) {
+	e := newBestEffortFixture(t)
+	e.setLoad(16, 0)
 	for i := range 8 {
-		e.send(job.ID(rune('a'+i)), 1, 2*time.Second+time.Duration(i)*20*time.Millisecond)
+		e.submitTasks(job.ID(rune('a'+i)), 1, 2*time.Second+time.Duration(i)*20*time.Millisecond)
 	}
-	e.is.Equal(e.send("repeat", 1, 700*time.Millisecond).Outcome, Unknown)
-	e.is.Equal(e.ordered("repeat"), 1)
-	e.room(0, 640*time.Millisecond)
-	e.is.Equal(e.send("late repeat", 1, 700*time.Millisecond).Outcome, Refused)
-	e.is.Equal(e.send("new", 1, 2*time.Second).Outcome, Unknown)
+	e.is.Equal(e.submitTasks("repeat", 1, 700*time.Millisecond).Outcome, Unknown)
+	e.is.Equal(e.orderCount("repeat"), 1)
+	e.setLoad(0, 640*time.Millisecond)
+	e.is.Equal(e.submitTasks("late repeat", 1, 700*time.Millisecond).Outcome, Refused)
+	e.is.Equal(e.submitTasks("new", 1, 2*time.Second).Outcome, Unknown)
 }
 
 // The clients of a queue wait at most 0.6 s, less than the time limit of their route. Such a
 // short patience must not be taken as the remaining patience of a retry.
-func TestImpatientClientsAreNoRepeats(t *testing.T) {
+func TestShortPatienceIsNotARetry(t *testing.T) {
 	is := is.New(t)
 	var l patienceLog
 	for i := range 40 {
@@ -288,7 +290,7 @@
 
 // No late task has left the backlog for a second, so the estimated wait grows and no more late
 // jobs are accepted. Once none waits, the estimate returns to its prior.
-func TestRoomForLateWorkIsMeasured(t *testing.T) {
+func TestCapacityForLateWorkIsMeasured(t *testing.T) {
 	is := is.New(t)
 	var b backlog
 	b.expect(10)
@@ -337,21 +339,21 @@
 // A worker returns an order because another owner's task took its capacity. The worker is
 // healthy, so it must not be avoided afterwards: the task goes back there once capacity is free
 // again.
-func TestReturnedOrderGoesWhereRoomIsNext(t *testing.T) {
-	e := newEffort(t)
+func TestReturnedOrderMayGoBackToItsWorker(t *testing.T) {
+	e := newBestEffortFixture(t)
 	e.link("b", 1)
 	e.fleet.Update(e.now, "b", AgentLoad{Service: "desk", Capacity: job.Demand{CPUMillis: 16000, MemoryMB: 65536}, Accepts: true, Turnover: 40 * time.Millisecond})
-	e.room(4, 0)
-	e.send("returned", 1, 0)
-	e.is.Equal(e.ordered("returned"), 1)
+	e.setLoad(4, 0)
+	e.submitTasks("returned", 1, 0)
+	e.is.Equal(e.orderCount("returned"), 1)
 	first := e.orders[len(e.orders)-1]
-	e.room(0, 0)
-	e.take(e.Event(e.now, first.Node, worker.Event{Shard: e.ID, Epoch: e.Epoch, State: worker.RunState{
+	e.setLoad(0, 0)
+	e.collect(e.Event(e.now, first.Node, worker.Event{Shard: e.ID, Epoch: e.Epoch, State: worker.RunState{
 		Run: first.What.Run, Status: worker.Ended, End: job.NeverRan, Reason: worker.ReasonNoRoom,
 	}}))
-	e.is.Equal(e.ordered("returned"), 1) // it waits at the owner
-	e.room(4, 0)
-	e.is.Equal(e.ordered("returned"), 2)
+	e.is.Equal(e.orderCount("returned"), 1) // it waits at the owner
+	e.setLoad(4, 0)
+	e.is.Equal(e.orderCount("returned"), 2)
 	e.is.True(e.orders[len(e.orders)-1].What.Run.Number > first.What.Run.Number)
 }
 
--- a/coordination/owner/crash_test.go
+++ b/coordination/owner/crash_test.go
@@ -17,47 +17,47 @@
 	return newFixture(t, records, nil, "a", "b", "c", "d", "e")
 }
 
-// last returns the most recent order.
-func (f *fixture) last() Placed[worker.Order] { return f.orders[len(f.orders)-1] }
+// lastOrder returns the most recent order.
+func (f *fixture) lastOrder() Placed[worker.Order] { return f.orders[len(f.orders)-1] }
 
-// lost returns the state in which an agent reports that an order's run was lost with its
-// backend server while the given number of runs was on that server.
-func lost(o Placed[worker.Order], suspects int, what worker.Loss) worker.RunState {
+// lostRunState returns the state in which an agent reports that an order's run was lost with
+// its backend server while the given number of runs was on that server.
+func lostRunState(o Placed[worker.Order], suspects int, what worker.Loss) worker.RunState {
 	return worker.RunState{
 		Run: o.What.Run, Status: worker.Ended, End: job.Lapsed, Loss: what, Instance: "i-" + o.Node, Suspects: suspects,
 	}
 }
 
-// tell delivers the state of a run to the shard.
-func (f *fixture) tell(o Placed[worker.Order], s worker.RunState) {
-	f.take(f.Event(f.now, o.Node, worker.Event{Shard: f.ID, Epoch: f.Epoch, State: s}))
+// deliver delivers the state of a run to the shard.
+func (f *fixture) deliver(o Placed[worker.Order], s worker.RunState) {
+	f.collect(f.Event(f.now, o.Node, worker.Event{Shard: f.ID, Epoch: f.Epoch, State: s}))
 }
 
-// lose reports that a run was lost with its server, and writes the pending records.
-func (f *fixture) lose(o Placed[worker.Order], suspects int, what worker.Loss) {
-	f.tell(o, lost(o, suspects, what))
+// reportLoss reports that a run was lost with its server, and writes the pending records.
+func (f *fixture) reportLoss(o Placed[worker.Order], suspects int, what worker.Loss) {
+	f.deliver(o, lostRunState(o, suspects, what))
 	f.now += 200 * time.Millisecond
 	f.write()
 }
 
-// explain reports what became of the lost server.
-func (f *fixture) explain(o Placed[worker.Order], what worker.Loss) {
-	f.tell(o, worker.RunState{Run: o.What.Run, Status: worker.LossNews, Loss: what, Instance: "i-" + o.Node})
+// reportLossOutcome reports what became of the lost server.
+func (f *fixture) reportLossOutcome(o Placed[worker.Order], what worker.Loss) {
+	f.deliver(o, worker.RunState{Run: o.What.Run, Status: worker.LossNews, Loss: what, Instance: "i-" + o.Node})
 }
 
-// pass advances the clock in ticks of 50 ms and writes the pending records.
-func (f *fixture) pass(d time.Duration) {
+// advance advances the clock in ticks of 50 ms and writes the pending records.
+func (f *fixture) advance(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += 50 * time.Millisecond {
-		f.take(f.Tick(f.now))
+		f.collect(f.Tick(f.now))
 	}
 	f.write()
 }
 
-// begin submits a job of one task and returns its first order.
-func (f *fixture) begin() Placed[worker.Order] {
+// submitSingle submits a job of one task and returns its first order.
+func (f *fixture) submitSingle() Placed[worker.Order] {
 	f.submit(testID, steps(1))
 	f.write()
-	return f.last()
+	return f.lastOrder()
 }
 
 // A task crashes each backend server that starts it, and other tasks run there as well. Its
@@ -67,14 +67,14 @@
 	f := newCrashFixture(t)
 	cautions := []worker.Caution{worker.NoCaution, worker.Apart, worker.Alone}
 	been := make(map[string]bool)
-	o := f.begin()
+	o := f.submitSingle()
 	for i, want := range cautions {
 		f.is.Equal(len(f.orders), i+1)
 		f.is.Equal(o.What.Caution, want)
 		f.is.True(!been[o.Node])
 		been[o.Node] = true
-		f.lose(o, 4-i, worker.LossConfirmed)
-		o = f.last()
+		f.reportLoss(o, 4-i, worker.LossConfirmed)
+		o = f.lastOrder()
 	}
 	f.is.Equal(len(f.orders), len(cautions))
 	v := f.Lookup(testID)
@@ -86,8 +86,8 @@
 // task is given up.
 func TestOnlySuspectOfTheSecondCrashIsGivenUp(t *testing.T) {
 	f := newCrashFixture(t)
-	f.lose(f.begin(), 9, worker.LossConfirmed)
-	f.lose(f.last(), 1, worker.LossConfirmed)
+	f.reportLoss(f.submitSingle(), 9, worker.LossConfirmed)
+	f.reportLoss(f.lastOrder(), 1, worker.LossConfirmed)
 	f.is.Equal(f.Lookup(testID).State, job.Failed)
 	f.is.Equal(len(f.orders), 2)
 }
@@ -96,12 +96,12 @@
 // the same instances. Counted as crashes, these losses would fail a job that can be completed.
 func TestServersThatComeBackRaiseNoSuspicion(t *testing.T) {
 	f := newCrashFixture(t)
-	o := f.begin()
+	o := f.submitSingle()
 	for range 4 {
-		f.lose(o, 1, worker.LossSuspected)
-		f.explain(o, worker.LossCleared)
+		f.reportLoss(o, 1, worker.LossSuspected)
+		f.reportLossOutcome(o, worker.LossCleared)
 		f.write()
-		o = f.last()
+		o = f.lastOrder()
 		f.is.Equal(o.What.Caution, worker.Apart) // the outcome was not known when the order was sent
 		f.is.Equal(len(f.jobs[testID].rec.Tasks[0].Crashes), 0)
 	}
@@ -115,14 +115,14 @@
 // loss.
 func TestNeighbourIsAcquittedWhenItEnds(t *testing.T) {
 	f := newCrashFixture(t)
-	f.lose(f.begin(), 5, worker.LossConfirmed)
-	f.lose(f.last(), 2, worker.LossConfirmed)
-	f.event(f.last(), worker.Ended, job.FailedRun)
+	f.reportLoss(f.submitSingle(), 5, worker.LossConfirmed)
+	f.reportLoss(f.lastOrder(), 2, worker.LossConfirmed)
+	f.event(f.lastOrder(), worker.Ended, job.FailedRun)
 	f.write()
-	f.is.Equal(f.last().What.Caution, worker.NoCaution)
-	f.lose(f.last(), 1, worker.LossConfirmed)
+	f.is.Equal(f.lastOrder().What.Caution, worker.NoCaution)
+	f.reportLoss(f.lastOrder(), 1, worker.LossConfirmed)
 	f.is.Equal(f.Lookup(testID).State, job.Queued+1) // the job goes on
-	f.event(f.last(), worker.Ended, job.Done)
+	f.event(f.lastOrder(), worker.Ended, job.Done)
 	f.write()
 	f.is.Equal(f.Lookup(testID).State, job.Completed)
 }
@@ -131,18 +131,18 @@
 // The other task is cleared of the first crash and may run beside any task again.
 func TestNeighbourOfACrasherIsAcquitted(t *testing.T) {
 	f := newCrashFixture(t)
-	crasher := f.begin()
+	crasher := f.submitSingle()
 	f.submit("00000000000000bb", steps(1))
 	f.write()
-	neighbour := f.last()
+	neighbour := f.lastOrder()
 	neighbour.Node = crasher.Node // both ran on the same server
 	f.jobs["00000000000000bb"].tasks[0].node = crasher.Node
-	f.lose(crasher, 2, worker.LossConfirmed)
-	second := f.last()
-	f.lose(neighbour, 2, worker.LossConfirmed)
-	rerun := f.last()
+	f.reportLoss(crasher, 2, worker.LossConfirmed)
+	second := f.lastOrder()
+	f.reportLoss(neighbour, 2, worker.LossConfirmed)
+	rerun := f.lastOrder()
 	f.is.Equal(rerun.What.Caution, worker.Apart)
-	f.lose(second, 1, worker.LossConfirmed)
+	f.reportLoss(second, 1, worker.LossConfirmed)
 	f.is.Equal(f.Lookup(testID).State, job.Failed)
 	f.is.Equal(len(f.jobs["00000000000000bb"].rec.Tasks[0].Crashes), 0)
 }
@@ -151,30 +151,30 @@
 // servers were lost at the same moment, so the task is not blamed and is tried once more.
 func TestRackThatIsLostGivesUpNoTask(t *testing.T) {
 	f := newCrashFixture(t)
-	f.lose(f.begin(), 4, worker.LossConfirmed)
+	f.reportLoss(f.submitSingle(), 4, worker.LossConfirmed)
 	for i := range togetherOthers {
 		f.noteLossLocked(f.now, "rack-"+strconv.Itoa(i), "i")
 	}
-	f.lose(f.last(), 1, worker.LossConfirmed)
+	f.reportLoss(f.lastOrder(), 1, worker.LossConfirmed)
 	f.is.True(!f.Lookup(testID).State.Final())
-	f.is.Equal(f.last().What.Caution, worker.Alone)
+	f.is.Equal(f.lastOrder().What.Caution, worker.Alone)
 }
 
 // An owner dies after two servers were lost under a task. The next owner finds the crashes in
 // the job's record, starts the task alone and gives it up after the third loss: a takeover must
 // not give a task more starts.
-func TestCrashesOutliveTheirOwner(t *testing.T) {
+func TestCrashesSurviveATakeover(t *testing.T) {
 	f := newCrashFixture(t)
-	f.lose(f.begin(), 4, worker.LossConfirmed)
-	f.lose(f.last(), 4, worker.LossConfirmed)
+	f.reportLoss(f.submitSingle(), 4, worker.LossConfirmed)
+	f.reportLoss(f.lastOrder(), 4, worker.LossConfirmed)
 	rec := *f.jobs[testID].rec
 	rec.Spec.Digest = ""
 
 	next := newCrashFixture(t, &rec)
-	next.pass(100 * time.Millisecond)
+	next.advance(100 * time.Millisecond)
 	next.is.Equal(len(next.orders), 1)
-	next.is.Equal(next.last().What.Caution, worker.Alone)
-	next.lose(next.last(), 1, worker.LossConfirmed)
+	next.is.Equal(next.lastOrder().What.Caution, worker.Alone)
+	next.reportLoss(next.lastOrder(), 1, worker.LossConfirmed)
 	next.is.Equal(next.Lookup(testID).State, job.Failed)
 	next.is.Equal(len(next.orders), 1)
 }
@@ -184,10 +184,10 @@
 // it.
 func TestSuspectWaitsForItsRecord(t *testing.T) {
 	f := newCrashFixture(t)
-	f.lose(f.begin(), 4, worker.LossConfirmed)
-	o := f.last()
-	f.tell(o, lost(o, 3, worker.LossConfirmed))
-	f.take(f.Tick(f.now + time.Second))
+	f.reportLoss(f.submitSingle(), 4, worker.LossConfirmed)
+	o := f.lastOrder()
+	f.deliver(o, lostRunState(o, 3, worker.LossConfirmed))
+	f.collect(f.Tick(f.now + time.Second))
 	f.is.Equal(len(f.orders), 2)
 	f.write()
 	f.is.Equal(len(f.orders), 3)
@@ -198,19 +198,19 @@
 // waits.
 func TestUnexplainedLossesHoldATaskBack(t *testing.T) {
 	f := newCrashFixture(t)
-	o := f.begin()
+	o := f.submitSingle()
 	for range 3 {
-		f.lose(o, 2, worker.LossSuspected)
-		f.pass(3 * time.Second)
-		o = f.last()
+		f.reportLoss(o, 2, worker.LossSuspected)
+		f.advance(3 * time.Second)
+		o = f.lastOrder()
 	}
 	f.is.Equal(len(f.orders), 4)
-	f.lose(o, 1, worker.LossSuspected)
-	f.pass(5 * time.Second)
+	f.reportLoss(o, 1, worker.LossSuspected)
+	f.advance(5 * time.Second)
 	f.is.Equal(len(f.orders), 4)
-	f.pass(6 * time.Second)
+	f.advance(6 * time.Second)
 	f.is.Equal(len(f.orders), 5) // the last loss has been forgotten
-	f.is.Equal(f.last().What.Caution, worker.NoCaution)
+	f.is.Equal(f.lastOrder().What.Caution, worker.NoCaution)
 }
 
 // One task of a wide job crashes its servers. The other tasks go on as long as it may be
@@ -222,17 +222,17 @@
 	f.write()
 	crasher := f.orders[0]
 	index := crasher.What.Run.Task.Index
-	f.lose(crasher, 9, worker.LossConfirmed)
-	f.lose(f.lastOfTask(index), 3, worker.LossConfirmed)
+	f.reportLoss(crasher, 9, worker.LossConfirmed)
+	f.reportLoss(f.lastOrderOfTask(index), 3, worker.LossConfirmed)
 	is.Equal(len(f.stops), 0)
-	f.pass(100 * time.Millisecond)
-	f.lose(f.lastOfTask(index), 1, worker.LossConfirmed)
+	f.advance(100 * time.Millisecond)
+	f.reportLoss(f.lastOrderOfTask(index), 1, worker.LossConfirmed)
 	is.Equal(f.Lookup(testID).State, job.Failed)
 	is.True(len(f.stops) > 0)
 }
 
-// lastOfTask returns the most recent order of a task.
-func (f *fixture) lastOfTask(index int) Placed[worker.Order] {
+// lastOrderOfTask returns the most recent order of a task.
+func (f *fixture) lastOrderOfTask(index int) Placed[worker.Order] {
 	for i := len(f.orders) - 1; ; i-- {
 		if f.orders[i].What.Run.Task.Index == index {
 			return f.orders[i]
@@ -243,18 +243,18 @@
 // The report of a lost server is lost with its link. The answer to the next link's claim
 // repeats it. If the run was taken as merely missing, the task was started without caution and
 // crashed another server for each lost link.
-func TestLossIsHeardWithTheNextLink(t *testing.T) {
+func TestLossIsReportedWithTheNextClaim(t *testing.T) {
 	f := newCrashFixture(t)
-	f.lose(f.begin(), 4, worker.LossConfirmed)
-	o := f.last()
+	f.reportLoss(f.submitSingle(), 4, worker.LossConfirmed)
+	o := f.lastOrder()
 	f.LinkLost(f.now, o.Node, 1)
 	f.fleet.Lost(o.Node)
 	claim, _, fx := f.Linked(f.now, o.Node, 2)
-	f.take(fx)
-	f.take(f.Claimed(f.now, o.Node, worker.Claimed{Claim: claim, Lost: []worker.RunState{lost(o, 3, worker.LossConfirmed)}}))
+	f.collect(fx)
+	f.collect(f.Claimed(f.now, o.Node, worker.Claimed{Claim: claim, Lost: []worker.RunState{lostRunState(o, 3, worker.LossConfirmed)}}))
 	f.write()
 	f.is.Equal(len(f.orders), 3)
-	f.is.Equal(f.last().What.Caution, worker.Alone)
+	f.is.Equal(f.lastOrder().What.Caution, worker.Alone)
 }
 
 // A task is cleared of one crash while another run of it is active. That run is lost with its
@@ -263,19 +263,19 @@
 // an additional start for each.
 func TestAcquittalIsOfEarlierRunsOnly(t *testing.T) {
 	f := newCrashFixture(t)
-	first := f.begin()
-	f.lose(first, 3, worker.LossConfirmed)
-	second := f.last()
+	first := f.submitSingle()
+	f.reportLoss(first, 3, worker.LossConfirmed)
+	second := f.lastOrder()
 	culprit := []job.Crash{{Node: first.Node, Instance: "i-" + first.Node}}
 	var fx Effects
 	f.acquitNeighboursLocked(f.now, &fx, culprit)
-	f.take(fx)
+	f.collect(fx)
 	f.is.Equal(len(f.jobs[testID].rec.Tasks[0].Crashes), 0)
 	f.LinkLost(f.now, second.Node, 1)
 	claim, _, fx := f.Linked(f.now, second.Node, 2)
-	f.take(fx)
-	f.take(f.Claimed(f.now, second.Node, worker.Claimed{Claim: claim, Lost: []worker.RunState{
-		lost(first, 3, worker.LossConfirmed), lost(second, 3, worker.LossConfirmed),
+	f.collect(fx)
+	f.collect(f.Claimed(f.now, second.Node, worker.Claimed{Claim: claim, Lost: []worker.RunState{
+		lostRunState(first, 3, worker.LossConfirmed), lostRunState(second, 3, worker.LossConfirmed),
 	}}))
 	f.is.Equal(len(f.jobs[testID].rec.Tasks[0].Crashes), 1)
 }
@@ -285,12 +285,12 @@
 // waits for the record of that one too.
 func TestSuspectWaitsForItsLastCrash(t *testing.T) {
 	f := newCrashFixture(t)
-	first := f.begin()
-	f.lose(first, 4, worker.LossSuspected)
-	f.lose(f.last(), 4, worker.LossConfirmed)
-	third := f.last()
-	f.explain(first, worker.LossCleared)
-	f.tell(third, lost(third, 3, worker.LossConfirmed))
+	first := f.submitSingle()
+	f.reportLoss(first, 4, worker.LossSuspected)
+	f.reportLoss(f.lastOrder(), 4, worker.LossConfirmed)
+	third := f.lastOrder()
+	f.reportLossOutcome(first, worker.LossCleared)
+	f.deliver(third, lostRunState(third, 3, worker.LossConfirmed))
 	f.is.Equal(len(f.orders), 3)
 	f.write()
 	f.is.Equal(len(f.orders), 4)
@@ -298,14 +298,14 @@
 
 // Every agent without another suspect is full, so that a suspect waits for capacity. Tasks that
 // may run anywhere must not queue behind it but go to the free agent.
-func TestWaitingSuspectHoldsNobodyUp(t *testing.T) {
+func TestWaitingSuspectDoesNotBlockOthers(t *testing.T) {
 	f := newFixture(t, nil, nil, "a", "b")
-	crashed := f.begin()
+	crashed := f.submitSingle()
 	full, free := "a", "b"
 	if crashed.Node == "a" {
 		full, free = "b", "a"
 	}
-	f.lose(crashed, 4, worker.LossConfirmed)
+	f.reportLoss(crashed, 4, worker.LossConfirmed)
 	capacity := job.Demand{CPUMillis: 16000, MemoryMB: 65536}
 	busy := AgentLoad{Service: "desk", Capacity: capacity, Accepts: true, Backlog: time.Second, Turnover: 100 * time.Millisecond, Seen: 1 << 20}
 	for i := range busy.Ahead {
@@ -313,13 +313,13 @@
 	}
 	f.fleet.Update(f.now, full, busy)
 	f.fleet.Update(f.now, free, AgentLoad{Service: "desk", Capacity: capacity, Free: capacity, Accepts: true, Suspects: 1, Seen: 1 << 20})
-	f.event(f.last(), worker.Ended, job.NeverRan) // the order is returned
+	f.event(f.lastOrder(), worker.Ended, job.NeverRan) // the order is returned
 	f.is.True(f.Waiting())
 	before := len(f.orders)
 	f.submit("00000000000000bb", steps(1))
 	f.write()
 	f.is.Equal(len(f.orders), before+1)
-	f.is.Equal(f.last().Node, free)
+	f.is.Equal(f.lastOrder().Node, free)
 }
 
 // A task waits for the record of its second loss when another task is found to have crashed
@@ -327,16 +327,16 @@
 // its accepted job never ended.
 func TestAcquittedTaskThatWaitedIsStarted(t *testing.T) {
 	f := newCrashFixture(t)
-	first := f.begin()
-	f.lose(first, 3, worker.LossConfirmed)
-	second := f.last()
-	f.tell(second, lost(second, 3, worker.LossConfirmed)) // the loss is not recorded yet
+	first := f.submitSingle()
+	f.reportLoss(first, 3, worker.LossConfirmed)
+	second := f.lastOrder()
+	f.deliver(second, lostRunState(second, 3, worker.LossConfirmed)) // the loss is not recorded yet
 	f.is.Equal(len(f.orders), 2)
 	var fx Effects
 	f.acquitNeighboursLocked(f.now, &fx, []job.Crash{
 		{Node: first.Node, Instance: "i-" + first.Node}, {Node: second.Node, Instance: "i-" + second.Node},
 	})
-	f.take(fx)
-	f.pass(100 * time.Millisecond)
+	f.collect(fx)
+	f.advance(100 * time.Millisecond)
 	f.is.Equal(len(f.orders), 3)
 }
--- a/coordination/owner/drain_test.go
+++ b/coordination/owner/drain_test.go
@@ -10,13 +10,13 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// inDomain reports the load of an idle agent in a failure domain.
-func (f *fixture) inDomain(node, domain string) {
+// setDomain reports the load of an idle agent in a failure domain.
+func (f *fixture) setDomain(node, domain string) {
 	demand := job.Demand{CPUMillis: 16000, MemoryMB: 65536}
 	f.fleet.Update(f.now, node, AgentLoad{Service: "desk", Domain: domain, Capacity: demand, Free: demand, Accepts: true})
 }
 
-func drained(position int64, domains ...string) drains.State {
+func drainedState(position int64, domains ...string) drains.State {
 	return drains.State{Position: position, Domains: domains}
 }
 
@@ -24,22 +24,22 @@
 // domain must be used again once the drain has ended.
 func TestNothingIsPlacedInADrainedDomain(t *testing.T) {
 	f := newFixture(t, nil, nil, "a", "b")
-	f.inDomain("a", "jeonju")
-	f.inDomain("b", "iksan")
-	f.fleet.Drain(drained(1, "iksan"))
+	f.setDomain("a", "jeonju")
+	f.setDomain("b", "iksan")
+	f.fleet.Drain(drainedState(1, "iksan"))
 	f.submit(testID, steps(6))
 	f.write()
 	f.is.Equal(len(f.orders), 6)
 	for _, o := range f.orders {
 		f.is.Equal(o.Node, "a")
 	}
-	f.inDomain("b", "iksan") // a report from before the agent knows of the drain
+	f.setDomain("b", "iksan") // a report from before the agent knows of the drain
 	f.submit("00000000000000ab", steps(3))
 	f.write()
 	for _, o := range f.orders {
 		f.is.Equal(o.Node, "a")
 	}
-	f.fleet.Drain(drained(2))
+	f.fleet.Drain(drainedState(2))
 	f.submit("00000000000000ac", steps(4))
 	f.write()
 	f.is.True(slices.ContainsFunc(f.orders, func(o Placed[worker.Order]) bool { return o.Node == "b" }))
@@ -49,13 +49,13 @@
 // Its task must be neither lost nor counted as a failed attempt.
 func TestOrderThatADrainReturnsGoesElsewhere(t *testing.T) {
 	f := newFixture(t, nil, nil, "a", "b")
-	f.inDomain("a", "jeonju")
-	f.inDomain("b", "iksan")
+	f.setDomain("a", "jeonju")
+	f.setDomain("b", "iksan")
 	f.submit(testID, steps(1))
 	f.write()
 	first := f.orders[0]
-	f.fleet.Drain(drained(1, map[string]string{"a": "jeonju", "b": "iksan"}[first.Node]))
-	f.take(f.Event(f.now, first.Node, worker.Event{Shard: f.ID, Epoch: f.Epoch, State: worker.RunState{
+	f.fleet.Drain(drainedState(1, map[string]string{"a": "jeonju", "b": "iksan"}[first.Node]))
+	f.collect(f.Event(f.now, first.Node, worker.Event{Shard: f.ID, Epoch: f.Epoch, State: worker.RunState{
 		Run: first.What.Run, Status: worker.Ended, End: job.NeverRan, Reason: worker.ReasonDomainDrained,
 	}}))
 	f.is.Equal(len(f.orders), 2)
@@ -66,18 +66,18 @@
 // when one of them is available again.
 func TestRecordedJobWaitsOutADrain(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
-	f.inDomain("a", "jeonju")
+	f.setDomain("a", "jeonju")
 	f.submit(testID, steps(1, 1))
 	f.write()
-	f.fleet.Drain(drained(1, "jeonju"))
+	f.fleet.Drain(drainedState(1, "jeonju"))
 	f.event(f.orders[0], worker.Ended, job.Done)
 	f.write()
 	f.now += 20 * time.Second
-	f.take(f.Tick(f.now))
+	f.collect(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 1)
-	f.fleet.Drain(drained(2))
-	f.inDomain("a", "jeonju")
-	f.take(f.Tick(f.now))
+	f.fleet.Drain(drainedState(2))
+	f.setDomain("a", "jeonju")
+	f.collect(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 2)
 }
 
@@ -85,13 +85,13 @@
 // missing workers or a wait.
 func TestRefusalNamesTheDrain(t *testing.T) {
 	f := newFixture(t, nil, nil, "a", "b")
-	f.inDomain("a", "jeonju")
-	f.inDomain("b", "iksan")
-	f.fleet.Drain(drained(1, "iksan", "jeonju"))
+	f.setDomain("a", "jeonju")
+	f.setDomain("b", "iksan")
+	f.fleet.Drain(drainedState(1, "iksan", "jeonju"))
 	got := f.submit(testID, steps(1))
 	f.is.Equal((*got)[0].Outcome, Refused)
 	f.is.Equal((*got)[0].Reason, ReasonDrained)
-	f.fleet.Drain(drained(2))
+	f.fleet.Drain(drainedState(2))
 	spec := steps(1)
 	spec.Steps[0].Label = "none has it"
 	got = f.submit(testID, spec)
--- a/coordination/owner/owner_test.go
+++ b/coordination/owner/owner_test.go
@@ -48,11 +48,12 @@
 		Free: job.Demand{CPUMillis: 16000, MemoryMB: 65536}, Accepts: true,
 	})
 	claim, _, fx := f.Linked(f.now, node, session)
-	f.take(fx)
-	f.take(f.Claimed(f.now, node, worker.Claimed{Claim: claim, Runs: runs}))
+	f.collect(fx)
+	f.collect(f.Claimed(f.now, node, worker.Claimed{Claim: claim, Runs: runs}))
 }
 
-func (f *fixture) take(fx Effects) {
+// collect records effects of the shard and delivers its replies.
+func (f *fixture) collect(fx Effects) {
 	f.orders = append(f.orders, fx.Orders...)
 	f.stops = append(f.stops, fx.Stops...)
 	f.settled = append(f.settled, fx.Settled...)
@@ -64,25 +65,25 @@
 // write writes the pending records to the store and returns them.
 func (f *fixture) write() Batch {
 	b := f.NextBatch(f.now)
-	f.take(f.Written(f.now, b))
+	f.collect(f.Written(f.now, b))
 	return b
 }
 
 func (f *fixture) submit(id job.ID, spec job.Spec) *[]Verdict {
 	got := &[]Verdict{}
 	p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 2, Slack: 1.6, Target: 60 * time.Millisecond}
-	f.take(f.Submit(f.now, id, spec, p, func(v Verdict) { *got = append(*got, v) }))
+	f.collect(f.Submit(f.now, id, spec, p, func(v Verdict) { *got = append(*got, v) }))
 	return got
 }
 
 func (f *fixture) cancel(id job.ID) *[]Verdict {
 	got := &[]Verdict{}
-	f.take(f.Cancel(f.now, id, func(v Verdict) { *got = append(*got, v) }))
+	f.collect(f.Cancel(f.now, id, func(v Verdict) { *got = append(*got, v) }))
 	return got
 }
 
 func (f *fixture) event(o Placed[worker.Order], status worker.Status, end job.EndKind) {
-	f.take(f.Event(f.now, o.Node, worker.Event{
+	f.collect(f.Event(f.now, o.Node, worker.Event{
 		Shard: f.ID, Epoch: f.Epoch, State: worker.RunState{Run: o.What.Run, Status: status, End: end},
 	}))
 }
@@ -131,7 +132,7 @@
 func TestRejectedRecordRefusesTheJobForGood(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	got := f.submit(testID, steps(1))
-	f.take(f.Rejected(f.now, f.NextBatch(f.now), "busy"))
+	f.collect(f.Rejected(f.now, f.NextBatch(f.now), "busy"))
 	f.is.Equal((*got)[0].Outcome, Refused)
 	next := f.submit("00000000000000bb", steps(1))
 	f.is.Equal((*next)[0].Reason, ReasonStore) // refused at once while the store rejects
@@ -221,7 +222,7 @@
 
 // The owner is lost while a task runs. Its successor finds the run at the agent and adopts it:
 // a second run beside it would run the task twice.
-func TestTakeoverFindsTheRun(t *testing.T) {
+func TestTakeoverAdoptsTheRun(t *testing.T) {
 	rec := job.NewRecord(testID, steps(1), job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 2, Slack: 1.6}, 2)
 	f := newFixture(t, []*job.Record{rec}, []string{"a", "b"})
 	f.link("a", 1)
@@ -244,10 +245,10 @@
 	f.link("a", 1)
 	f.write()
 	f.now += testBounds.Takeover - time.Millisecond
-	f.take(f.Tick(f.now))
+	f.collect(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 0)
 	f.now += time.Millisecond
-	f.take(f.Tick(f.now))
+	f.collect(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 1)
 	f.is.True(f.orders[0].What.Run.Number > runsPerEpoch)
 	f.is.Equal(f.write().Agents, []string{"a"}) // the next owner does not have to wait for the lost agent
@@ -264,10 +265,10 @@
 	f.LinkLost(f.now, first.Node, 1)
 	f.fleet.Lost(first.Node)
 	f.now += testBounds.WaitOut - time.Millisecond
-	f.take(f.Tick(f.now))
+	f.collect(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 1)
 	f.now += time.Millisecond
-	f.take(f.Tick(f.now))
+	f.collect(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 2)
 	f.is.True(f.orders[1].Node != first.Node)
 	f.link(first.Node, 2, worker.RunState{Run: first.What.Run, Status: worker.Ended, End: job.Done})
@@ -291,7 +292,7 @@
 
 // Orders go only to agents that are recorded in the store. The next owner would not ask other
 // agents for runs and would start their tasks a second time.
-func TestNoOrderBeforeTheAgentIsNamed(t *testing.T) {
+func TestNoOrderBeforeTheAgentIsRecorded(t *testing.T) {
 	f := newFixture(t, nil, nil)
 	f.submit(testID, steps(1))
 	f.link("a", 1)
@@ -300,7 +301,7 @@
 	early := f.submit("00000000000000cc", steps(1))
 	f.is.Equal((*early)[0].Reason, ReasonNoWorker) // it answered the claim but is not recorded yet
 	f.is.Equal(len(f.orders), 0)
-	f.take(f.Written(f.now, b))
+	f.collect(f.Written(f.now, b))
 	f.is.Equal(len(f.orders), 0) // the job was refused because no agent was available
 	f.submit("00000000000000bb", steps(1))
 	f.write()
@@ -312,7 +313,7 @@
 func TestFencedOwnerLeavesItsAnswersOpen(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	got := f.submit(testID, steps(1))
-	f.take(f.Close())
+	f.collect(f.Close())
 	f.is.Equal((*got)[0].Outcome, Unknown)
 	f.is.Equal(f.Lookup(testID).Outcome, NotOwner)
 }
@@ -327,7 +328,7 @@
 	spec.BestEffort = true
 	f.submit(testID, spec)
 	f.is.Equal(len(f.orders), 1) // nothing is recorded
-	f.take(f.Abandon(f.now, testID))
+	f.collect(f.Abandon(f.now, testID))
 	f.is.Equal(len(f.stops), 1)
 	got := f.submit(testID, spec)
 	f.is.Equal(len(f.orders), 1)
@@ -339,7 +340,7 @@
 
 // The agent that runs a best-effort job is lost for good, and no other agent is linked. Tasks
 // may have run, so the job must not be refused: a refusal promises that it never runs.
-func TestLostAgentNeverTurnsIntoARefusal(t *testing.T) {
+func TestLostAgentDoesNotCauseARefusal(t *testing.T) {
 	f := newFixture(t, nil, nil)
 	f.Shard = NewPrivate(f.now, 20, testBounds, f.fleet)
 	f.link("a", 1)
@@ -349,10 +350,10 @@
 	f.LinkLost(f.now, "a", 1)
 	f.fleet.Lost("a")
 	f.now += testBounds.WaitOut
-	f.take(f.Tick(f.now))
+	f.collect(f.Tick(f.now))
 	f.is.Equal(len(*got), 0)
 	f.link("b", 1)
-	f.take(f.Tick(f.now))
+	f.collect(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 2)
 	f.event(f.orders[1], worker.Ended, job.Done)
 	f.is.Equal((*got)[0].State, job.Completed)
@@ -382,16 +383,16 @@
 	f.is.True((*got)[0].RetryAfter > 0)
 }
 
-// submitOnce submits a job whose tasks may not be repeated, and writes its record.
-func (f *fixture) submitOnce(id job.ID, n int) {
+// submitNonRepeatable submits a job whose tasks may not be repeated, and writes its record.
+func (f *fixture) submitNonRepeatable(id job.ID, n int) {
 	p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 1, Once: true, Slack: 1, Target: time.Second}
-	f.take(f.Submit(f.now, id, steps(n), p, func(Verdict) {}))
+	f.collect(f.Submit(f.now, id, steps(n), p, func(Verdict) {}))
 	f.write()
 }
 
 func (f *fixture) await(id job.ID) *[]Verdict {
 	got := &[]Verdict{}
-	f.take(f.Await(id, func(v Verdict) { *got = append(*got, v) }))
+	f.collect(f.Await(id, func(v Verdict) { *got = append(*got, v) }))
 	return got
 }
 
@@ -399,7 +400,7 @@
 // may wait that long and still meet its objective, so it is accepted. Jobs of lower urgency are
 // refused first, but the wait that they are accepted with stays above four tenths of the most
 // urgent job's.
-func TestLeastUrgentJobsAreNotShutOut(t *testing.T) {
+func TestLeastUrgentJobsAreAccepted(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	f.fleet.Update(f.now, "a", AgentLoad{
 		Service: "desk", Capacity: job.Demand{CPUMillis: 16000, MemoryMB: 65536}, Accepts: true, Turnover: 20 * time.Millisecond,
@@ -427,12 +428,12 @@
 		"agent": func(f *fixture) {
 			f.LinkLost(f.now, "a", 1)
 			f.now += testBounds.WaitOut + time.Second
-			f.take(f.Tick(f.now))
+			f.collect(f.Tick(f.now))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, nil, nil, "a")
-			f.submitOnce(testID, 1)
+			f.submitNonRepeatable(testID, 1)
 			f.event(f.orders[0], worker.Running, 0)
 			got := f.await(testID)
 			cutOff(f)
@@ -441,7 +442,7 @@
 			f.is.Equal((*got)[0].State, job.Failed)
 			f.is.Equal((*got)[0].Failure, FailureLost)
 			f.link("b", 1)
-			f.take(f.Tick(f.now))
+			f.collect(f.Tick(f.now))
 			f.is.Equal(len(f.orders), 1)
 		})
 	}
@@ -459,7 +460,7 @@
 			f.link("a", 1)
 		}
 		f.now += testBounds.Takeover + time.Second
-		f.take(f.Tick(f.now))
+		f.collect(f.Tick(f.now))
 		f.write()
 		f.is.Equal(len(f.orders) == 1, answers)
 		f.is.Equal(len(*got) == 0, answers)
@@ -468,13 +469,13 @@
 
 // A caller waits for the end of its job. It is answered once the end is recorded, with the
 // results in the order of the tasks. An owner that takes over later gives the same answer.
-func TestResultsOutliveTheirOwner(t *testing.T) {
+func TestResultsSurviveATakeover(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	f.submit(testID, steps(2))
 	f.write()
 	got := f.await(testID)
 	for i, o := range f.orders {
-		f.take(f.Event(f.now, o.Node, worker.Event{Shard: f.ID, Epoch: f.Epoch, State: worker.RunState{
+		f.collect(f.Event(f.now, o.Node, worker.Event{Shard: f.ID, Epoch: f.Epoch, State: worker.RunState{
 			Run: o.What.Run, Status: worker.Ended, End: job.Done, Result: []string{"eye", "wig"}[i],
 		}}))
 	}
@@ -507,7 +508,7 @@
 // Most deployments submit only best-effort jobs, which need no owner. An owner links the agents
 // only if something of its shard may be there: an earlier owner's runs, or a job that has not
 // ended.
-func TestOwnerWithoutJobsConcernsNoAgent(t *testing.T) {
+func TestOwnerWithoutJobsLinksNoAgent(t *testing.T) {
 	is := is.New(t)
 	fleet := NewFleet(1, DefaultParams())
 	is.True(!New(time.Hour, 1, 3, testBounds, fleet, nil, nil).Concerns())
--- a/coordination/owner/takeover_test.go
+++ b/coordination/owner/takeover_test.go
@@ -14,8 +14,8 @@
 	return worker.RunState{Run: run, Status: status, End: end}
 }
 
-// recorded returns the record of a job of one task that earlier owners accepted.
-func recorded() []*job.Record {
+// recordedJobs returns the record of a job of one task that earlier owners accepted.
+func recordedJobs() []*job.Record {
 	p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 3, Slack: 1, Target: time.Minute}
 	return []*job.Record{job.NewRecord(testID, steps(1), p, 2)}
 }
@@ -54,7 +54,7 @@
 // learns of the failure first. It must not start the task again beside the run that the other
 // agent reports a moment later.
 func TestFailureOfAnEarlierOwnersRunWaitsForTheOtherAgents(t *testing.T) {
-	f := newFixture(t, recorded(), []string{"a", "b"})
+	f := newFixture(t, recordedJobs(), []string{"a", "b"})
 	f.link("a", 1, runState(1, worker.Ended, job.FailedRun))
 	f.is.Equal(len(f.orders), 0)
 	f.link("b", 1, runState(2, worker.Running, 0))
@@ -67,7 +67,7 @@
 // As above, but there is no newer run: the failure counts, and the task starts again once all
 // agents have answered.
 func TestFailureOfAnEarlierOwnersRunCountsInTheEnd(t *testing.T) {
-	f := newFixture(t, recorded(), []string{"a", "b"})
+	f := newFixture(t, recordedJobs(), []string{"a", "b"})
 	f.link("a", 1, runState(1, worker.Ended, job.FailedRun))
 	f.link("a", 2, runState(1, worker.Ended, job.FailedRun)) // the agent reconnected
 	f.link("b", 1)
@@ -83,7 +83,7 @@
 // An agent reports two runs of a task: one that failed, and a newer one that is active. The
 // failed run is listed first and must not start a third run.
 func TestNewestRunOfATaskCounts(t *testing.T) {
-	f := newFixture(t, recorded(), []string{"a"})
+	f := newFixture(t, recordedJobs(), []string{"a"})
 	f.link("a", 1, runState(1, worker.Ended, job.FailedRun), runState(2, worker.Running, 0))
 	f.is.Equal(len(f.orders), 1)
 	f.is.Equal(f.orders[0].What.Run.Number, int64(2))
@@ -111,7 +111,7 @@
 // owner that takes over before that does not know of it and would run the task again after its
 // end was acknowledged.
 func TestEndOfAJobWhoseEndIsUnrecordedWaits(t *testing.T) {
-	f := newFixture(t, recorded(), []string{"a"})
+	f := newFixture(t, recordedJobs(), []string{"a"})
 	f.cancel(testID)
 	f.link("a", 1, runState(1, worker.Ended, job.Done))
 	f.is.Equal(len(f.settled), 0)
@@ -130,10 +130,10 @@
 	f.LinkLost(f.now, f.orders[0].Node, 1)
 	f.Confirm(false)
 	f.now += testBounds.WaitOut + time.Second
-	f.take(f.Tick(f.now))
+	f.collect(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 1)
 	f.Confirm(true)
-	f.take(f.Tick(f.now))
+	f.collect(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 2)
 }
 
@@ -141,10 +141,10 @@
 // the claim of an older link. Taken for a takeover, the refusal made the entry give up its
 // shard, and every later job of the entry was answered with owner_changed. Instead the agent is
 // reconnected, and tasks go there once the next claim is answered.
-func TestRefusedLinkIsMadeAnew(t *testing.T) {
+func TestRefusedClaimReconnectsTheAgent(t *testing.T) {
 	f := newFixture(t, nil, nil)
 	claim, _, fx := f.Linked(f.now, "a", 1)
-	f.take(fx)
+	f.collect(fx)
 	refusal := f.Claimed(f.now, "a", worker.Claimed{Claim: claim, Refused: true, KnownEpoch: f.Epoch})
 	f.is.Equal(refusal.Relinks, []string{"a"})
 	f.is.True(!f.Closed())
@@ -162,8 +162,8 @@
 func TestClaimRefusedForANewerOwnerEndsTheShard(t *testing.T) {
 	f := newFixture(t, nil, nil)
 	claim, _, fx := f.Linked(f.now, "a", 1)
-	f.take(fx)
-	f.take(f.Claimed(f.now, "a", worker.Claimed{Claim: claim, Refused: true, KnownEpoch: f.Epoch + 1}))
+	f.collect(fx)
+	f.collect(f.Claimed(f.now, "a", worker.Claimed{Claim: claim, Refused: true, KnownEpoch: f.Epoch + 1}))
 	f.is.True(f.Closed())
 }
 
@@ -174,24 +174,24 @@
 func TestLinkIsClaimedOnce(t *testing.T) {
 	f := newFixture(t, nil, nil, "a", "b")
 	_, ok, fx := f.Linked(f.now, "a", 1)
-	f.take(fx)
+	f.collect(fx)
 	f.is.True(!ok)
 	f.submit(testID, steps(1))
 	f.write()
 	f.is.Equal(len(f.orders), 1)
 	_, ok, fx = f.Linked(f.now, "a", 1)
-	f.take(fx)
+	f.collect(fx)
 	f.is.True(!ok)
-	f.take(f.Claimed(f.now, f.orders[0].Node, worker.Claimed{Claim: worker.Claim{Shard: f.ID, Epoch: f.Epoch, Session: 1}}))
+	f.collect(f.Claimed(f.now, f.orders[0].Node, worker.Claimed{Claim: worker.Claim{Shard: f.ID, Epoch: f.Epoch, Session: 1}}))
 	f.is.Equal(len(f.orders), 1) // the answer to a second claim is ignored
 }
 
 // A claim is lost between the start of a link and its first frame, or the agent does not answer
 // it. No task would ever be placed on that agent, so the link must be reconnected.
-func TestUnansweredClaimHasTheLinkMadeAnew(t *testing.T) {
+func TestUnansweredClaimReconnectsTheAgent(t *testing.T) {
 	f := newFixture(t, nil, nil)
 	_, _, fx := f.Linked(f.now, "a", 1)
-	f.take(fx)
+	f.collect(fx)
 	f.now += claimPatience - time.Millisecond
 	f.is.Equal(len(f.Tick(f.now).Relinks), 0)
 	f.now += time.Millisecond
