--- a/coordination/worker/capacity_test.go
+++ b/coordination/worker/capacity_test.go
@@ -9,50 +9,51 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// say makes the backend server report a capacity and advances its clock with each report.
-func (f *fixture) say(seq, cpuMillis int64) {
-	f.pass(time.Millisecond)
-	f.sayAt(seq, cpuMillis, f.clock)
+// reportCapacity makes the backend server report a capacity and advances its clock with each
+// report.
+func (f *fixture) reportCapacity(seq, cpuMillis int64) {
+	f.advance(time.Millisecond)
+	f.reportCapacityAt(seq, cpuMillis, f.clock)
 }
 
-func (f *fixture) sayAt(seq, cpuMillis, clock int64) {
-	f.confirm(f.take(f.Report(f.now, Server{
+func (f *fixture) reportCapacityAt(seq, cpuMillis, clock int64) {
+	f.confirmStarts(f.collect(f.Report(f.now, Server{
 		Instance: "i-1", Service: "desk", Labels: []string{"a", "r1"}, Seq: seq,
 		Capacity: job.Demand{CPUMillis: cpuMillis, MemoryMB: 1000},
 	}, clock)))
 }
 
-// free returns the free CPU that owners are told, in thousandths of a core.
-func (f *fixture) free() int64 { return f.Load(f.now).Free.CPUMillis }
+// freeCPU returns the free CPU that owners are told, in thousandths of a core.
+func (f *fixture) freeCPU() int64 { return f.Load(f.now).Free.CPUMillis }
 
 // A backend server reports half of its former capacity while two tasks run. It starts whatever
 // it is told to start, so a third start would exceed the capacity. The two runs keep their
 // share, nothing starts before both have ended, and an order that would wait too long is
 // returned as not run.
-func TestNothingStartsBeyondARoomThatHasShrunk(t *testing.T) {
+func TestNothingStartsBeyondShrunkCapacity(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
 	f.send(f.order(1))
-	f.say(2, 1600)
-	f.is.Equal(f.free(), int64(-1600))
+	f.reportCapacity(2, 1600)
+	f.is.Equal(f.freeCPU(), int64(-1600))
 	urgent := f.order(2)
 	urgent.Due = f.now + 150*time.Millisecond
 	f.is.Equal(len(f.send(urgent).Starts), 0)
 	f.is.Equal(f.ended()[0].Reason, ReasonNoRoom) // returned
 	patient := f.order(3)
 	f.is.Equal(len(f.send(patient).Starts), 0)
-	f.end(f.order(0).Run, job.Done)
+	f.endRun(f.order(0).Run, job.Done)
 	f.hold()
-	f.is.Equal(len(f.alive), 1) // the other run still takes the whole capacity
-	f.end(f.order(1).Run, job.Done)
+	f.is.Equal(len(f.active), 1) // the other run still takes the whole capacity
+	f.endRun(f.order(1).Run, job.Done)
 	f.hold()
-	f.is.Equal(f.alive, map[job.RunID]bool{patient.Run: true})
+	f.is.Equal(f.active, map[job.RunID]bool{patient.Run: true})
 }
 
 // Orders wait at an agent when its server shrinks. One needs more than the server has now,
 // another would start too late. Both are returned at once, so that their owners place them
 // elsewhere.
-func TestWhatWaitsGoesBackWhenTheRoomShrinks(t *testing.T) {
+func TestWaitingOrdersReturnWhenCapacityShrinks(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
 	f.send(f.order(1))
@@ -62,7 +63,7 @@
 	f.send(wide)
 	f.send(urgent)
 	f.is.Equal(len(f.ended()), 0)
-	f.say(2, 1600)
+	f.reportCapacity(2, 1600)
 	reasons := make(map[job.RunID]string)
 	for _, e := range f.ended() {
 		f.is.Equal(e.End, job.NeverRan)
@@ -73,69 +74,69 @@
 
 // The capacity grows again. Waiting orders must start with the report that says so and not only
 // with the next end of a run.
-func TestRoomThatGrowsIsUsedAtOnce(t *testing.T) {
+func TestGrownCapacityIsUsedAtOnce(t *testing.T) {
 	f := newFixture(t)
-	f.say(2, 0)
+	f.reportCapacity(2, 0)
 	f.is.Equal(len(f.send(f.order(0)).Starts), 0) // it needs more than the server has
-	f.say(3, 1600)
+	f.reportCapacity(3, 1600)
 	f.send(f.order(1))
 	f.send(f.order(2))
-	f.is.Equal(len(f.alive), 1)
-	f.say(4, 3200)
-	f.is.Equal(len(f.alive), 2)
+	f.is.Equal(len(f.active), 1)
+	f.reportCapacity(4, 3200)
+	f.is.Equal(len(f.active), 2)
 }
 
 // Reports overtake one another, are repeated or arrive late. A report older than the newest
 // known one must change nothing: an outdated capacity was assigned again and overcommitted the
 // server.
-func TestOldWordsOnTheRoomChangeNothing(t *testing.T) {
+func TestOutdatedCapacityReportsAreIgnored(t *testing.T) {
 	f := newFixture(t)
 	early := f.clock
-	f.say(5, 1600)
-	f.is.Equal(f.free(), int64(1600))
-	f.sayAt(4, 3200, early) // a delayed report
-	f.is.Equal(f.free(), int64(1600))
-	f.sayAt(5, 3200, f.clock) // a sequence number that was received before
-	f.is.Equal(f.free(), int64(1600))
-	f.say(6, 3200)
-	f.is.Equal(f.free(), int64(3200))
-	f.say(7, 1600)
-	f.is.Equal(f.free(), int64(1600))
+	f.reportCapacity(5, 1600)
+	f.is.Equal(f.freeCPU(), int64(1600))
+	f.reportCapacityAt(4, 3200, early) // a delayed report
+	f.is.Equal(f.freeCPU(), int64(1600))
+	f.reportCapacityAt(5, 3200, f.clock) // a sequence number that was received before
+	f.is.Equal(f.freeCPU(), int64(1600))
+	f.reportCapacity(6, 3200)
+	f.is.Equal(f.freeCPU(), int64(3200))
+	f.reportCapacity(7, 1600)
+	f.is.Equal(f.freeCPU(), int64(1600))
 
 	// Answers to holds are ordered with the reports by the server's clock.
 	c, _ := f.Hold(f.now)
-	f.pass(10 * time.Millisecond)
-	f.take(f.Held(f.now, c, Holding{ClockMS: f.clock, Capacity: &job.Demand{CPUMillis: 800, MemoryMB: 1000}}))
-	f.is.Equal(f.free(), int64(800))
-	f.sayAt(8, 3200, f.clock-5) // reported before that answer
-	f.is.Equal(f.free(), int64(800))
-	f.say(9, 3200)
-	f.is.Equal(f.free(), int64(3200))
+	f.advance(10 * time.Millisecond)
+	f.collect(f.Held(f.now, c, Holding{ClockMS: f.clock, Capacity: &job.Demand{CPUMillis: 800, MemoryMB: 1000}}))
+	f.is.Equal(f.freeCPU(), int64(800))
+	f.reportCapacityAt(8, 3200, f.clock-5) // reported before that answer
+	f.is.Equal(f.freeCPU(), int64(800))
+	f.reportCapacity(9, 3200)
+	f.is.Equal(f.freeCPU(), int64(3200))
 }
 
 // The capacity shrinks while one run is being stopped and another one's start is unanswered.
 // Both keep their share, since the server may still run them.
-func TestStopsAndDoubtfulStartsKeepTheirRoom(t *testing.T) {
+func TestStopsAndDoubtfulStartsKeepTheirCapacity(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
-	f.take(f.Stop(f.now, private, 1, f.order(0).Run))
-	fx := f.take(f.Order(f.now, f.order(1)))
-	f.take(f.StartAnswered(f.now, "i-1", fx.Starts[0].Run, StartUnknown, ""))
-	f.say(2, 1600)
-	f.is.Equal(f.free(), int64(-1600))
+	f.collect(f.Stop(f.now, bestEffortShard, 1, f.order(0).Run))
+	fx := f.collect(f.Order(f.now, f.order(1)))
+	f.collect(f.StartAnswered(f.now, "i-1", fx.Starts[0].Run, StartUnknown, ""))
+	f.reportCapacity(2, 1600)
+	f.is.Equal(f.freeCPU(), int64(-1600))
 	f.is.Equal(len(f.send(f.order(2)).Starts), 0)
 }
 
 // A new instance has its own capacity, whatever the previous one reported last, and a clock
 // that starts again.
-func TestNewInstanceHasItsOwnRoom(t *testing.T) {
+func TestNewInstanceHasItsOwnCapacity(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
-	f.say(2, 0)
+	f.reportCapacity(2, 0)
 	is.True(f.Varies())
 	f.clock = 3
 	f.report("i-2", 0, false)
-	is.Equal(f.free(), int64(3200))
+	is.Equal(f.freeCPU(), int64(3200))
 	is.True(!f.Varies())
 }
 
--- a/coordination/worker/crash_test.go
+++ b/coordination/worker/crash_test.go
@@ -12,7 +12,7 @@
 // losses returns the collected states of the given status for runs lost with their server.
 func (f *fixture) losses(status Status) []RunState {
 	var out []RunState
-	for _, e := range f.got {
+	for _, e := range f.events {
 		if e.State.Loss != NotLost && e.State.Status == status {
 			out = append(out, e.State)
 		}
@@ -20,17 +20,17 @@
 	return out
 }
 
-// crash removes all runs from the backend server and lets its holds fail until the lease has
-// expired.
-func (f *fixture) crash() {
-	clear(f.alive)
+// crashServer removes all runs from the backend server and lets its holds fail until the lease
+// has expired.
+func (f *fixture) crashServer() {
+	clear(f.active)
 	f.ends = nil
 	for range 30 {
-		f.pass(50 * time.Millisecond)
+		f.advance(50 * time.Millisecond)
 		if c, ok := f.Hold(f.now); ok {
-			f.take(f.HoldFailed(f.now, c, NotSent))
+			f.collect(f.HoldFailed(f.now, c, NotSent))
 		}
-		f.take(f.Tick(f.now))
+		f.collect(f.Tick(f.now))
 	}
 }
 
@@ -40,7 +40,7 @@
 	f := newFixture(t)
 	f.send(f.order(0))
 	f.send(f.order(1))
-	f.crash()
+	f.crashServer()
 	lost := f.losses(Ended)
 	f.is.Equal(len(lost), 2)
 	for _, s := range lost {
@@ -48,7 +48,7 @@
 		f.is.Equal(s.Suspects, 2)
 		f.is.Equal(s.Instance, "i-1")
 	}
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	f.report("i-2", 1, false)
 	news := f.losses(LossNews)
 	f.is.Equal(len(news), 2)
@@ -71,7 +71,7 @@
 func TestSameInstanceClearsItsRuns(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
-	f.crash()
+	f.crashServer()
 	f.is.Equal(f.losses(Ended)[0].Loss, LossSuspected)
 	f.hold()
 	news := f.losses(LossNews)
@@ -83,10 +83,10 @@
 // agent ends its server too. The runs on it must not become suspects.
 func TestPlannedEndsRaiseNoSuspicion(t *testing.T) {
 	for name, end := range map[string]func(*fixture){
-		"draining": func(f *fixture) { f.report("i-1", 2, true); f.crash(); f.report("i-2", 1, false) },
+		"draining": func(f *fixture) { f.report("i-1", 2, true); f.crashServer(); f.report("i-2", 1, false) },
 		"replaced": func(f *fixture) { f.report("i-1", 2, true); f.report("i-2", 1, false) },
-		"left":     func(f *fixture) { f.take(f.Left("i-1")); f.report("i-2", 1, false) },
-		"stopping": func(f *fixture) { f.Drain(); f.crash(); f.report("i-2", 1, false) },
+		"left":     func(f *fixture) { f.collect(f.Left("i-1")); f.report("i-2", 1, false) },
+		"stopping": func(f *fixture) { f.Drain(); f.crashServer(); f.report("i-2", 1, false) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
@@ -101,24 +101,24 @@
 // The owner of a lost run dies before it learns of the loss. The answer to its successor's
 // claim names the loss. What becomes of the server is reported to the successor, and again with
 // the next claim if a link is lost.
-func TestLossIsToldToTheNextOwner(t *testing.T) {
+func TestLossIsReportedToTheNextOwner(t *testing.T) {
 	f := newFixture(t)
-	f.claim(recorded, 5, 1)
+	f.claim(recordedShard, 5, 1)
 	o := f.order(0)
-	o.Shard, o.Epoch = recorded, 5
+	o.Shard, o.Epoch = recordedShard, 5
 	f.send(o)
-	f.crash()
-	answer := f.claim(recorded, 6, 2)
+	f.crashServer()
+	answer := f.claim(recordedShard, 6, 2)
 	f.is.Equal(len(answer.Runs), 0)
 	f.is.Equal(len(answer.Lost), 1)
 	f.is.Equal(answer.Lost[0].Loss, LossSuspected)
 	f.report("i-2", 1, false)
-	f.is.Equal(f.got[len(f.got)-1].Epoch, int64(6))
+	f.is.Equal(f.events[len(f.events)-1].Epoch, int64(6))
 	// The link that carried the report was lost, and a new one is made.
-	f.is.Equal(f.claim(recorded, 6, 3).Lost[0].Loss, LossConfirmed)
-	f.pass(lostMemory + time.Second)
-	f.take(f.Tick(f.now))
-	f.is.Equal(len(f.claim(recorded, 6, 4).Lost), 0)
+	f.is.Equal(f.claim(recordedShard, 6, 3).Lost[0].Loss, LossConfirmed)
+	f.advance(lostMemory + time.Second)
+	f.collect(f.Tick(f.now))
+	f.is.Equal(len(f.claim(recordedShard, 6, 4).Lost), 0)
 }
 
 // Two tasks under which servers were lost arrive at one server. If both ran at a time, the next
@@ -131,9 +131,9 @@
 	f.is.Equal(len(f.send(second).Starts), 0)
 	f.is.Equal(len(f.send(f.order(2)).Starts), 1) // runs without caution still start
 	f.is.Equal(f.Load(f.now).Suspects, 2)
-	f.end(first.Run, job.Done)
+	f.endRun(first.Run, job.Done)
 	f.hold()
-	f.is.Equal(len(f.alive), 2)
+	f.is.Equal(len(f.active), 2)
 }
 
 // A task under which two servers were lost waits until the server is empty and then has it
@@ -149,15 +149,15 @@
 	f.is.Equal(f.Load(f.now).Free, job.Demand{})
 	other := f.order(2)
 	f.is.Equal(len(f.send(other).Starts), 0)
-	f.end(f.order(0).Run, job.Done)
+	f.endRun(f.order(0).Run, job.Done)
 	f.hold()
-	f.is.Equal(f.alive, map[job.RunID]bool{suspect.Run: true})
-	f.pass(100 * time.Millisecond)
+	f.is.Equal(f.active, map[job.RunID]bool{suspect.Run: true})
+	f.advance(100 * time.Millisecond)
 	f.hold()
-	f.is.Equal(len(f.alive), 1)
-	f.pass(100 * time.Millisecond)
+	f.is.Equal(len(f.active), 1)
+	f.advance(100 * time.Millisecond)
 	f.hold()
-	f.is.Equal(len(f.alive), 2)
+	f.is.Equal(len(f.active), 2)
 }
 
 // The runs that were lost with a server which does not return are remembered only for a limited
@@ -166,9 +166,9 @@
 	is := is.New(t)
 	f := newFixture(t)
 	f.send(f.order(0))
-	f.crash()
-	f.pass(lostMemory + time.Second)
-	f.take(f.Tick(f.now))
+	f.crashServer()
+	f.advance(lostMemory + time.Second)
+	f.collect(f.Tick(f.now))
 	f.report("i-2", 1, false)
 	is.Equal(len(f.losses(LossNews)), 0)
 }
@@ -179,17 +179,17 @@
 func TestLaterCrashIsNotOfEarlierRuns(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
-	f.crash()
+	f.crashServer()
 	f.hold() // the same instance
-	f.claim(private, 1, 2)
+	f.claim(bestEffortShard, 1, 2)
 	second := f.order(1)
 	second.Session = 2
 	f.send(second)
-	f.is.Equal(len(f.alive), 1)
-	f.pass(100 * time.Millisecond)
+	f.is.Equal(len(f.active), 1)
+	f.advance(100 * time.Millisecond)
 	f.report("i-2", 1, false)
 	what := make(map[job.RunID]Loss)
-	for _, s := range f.claim(private, 1, 3).Lost {
+	for _, s := range f.claim(bestEffortShard, 1, 3).Lost {
 		what[s.Run] = s.Loss
 	}
 	f.is.Equal(what, map[job.RunID]Loss{f.order(0).Run: LossCleared, f.order(1).Run: LossConfirmed})
--- a/coordination/worker/drain_test.go
+++ b/coordination/worker/drain_test.go
@@ -9,23 +9,23 @@
 
 // An order that waits at the agent must not start after its failure domain was drained. It is
 // returned as not run, and running tasks go on and keep their capacity.
-func TestWhatWaitsGoesBackWhenItsDomainIsDrained(t *testing.T) {
+func TestWaitingOrdersReturnWhenTheDomainIsDrained(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
 	f.send(f.order(1))
 	waits := f.order(2)
 	f.send(waits)
-	f.take(f.DrainDomain(f.now, true))
+	f.collect(f.DrainDomain(f.now, true))
 	f.is.Equal(len(f.ended()), 1)
 	f.is.Equal(f.ended()[0].Run, waits.Run)
 	f.is.Equal(f.ended()[0].End, job.NeverRan)
 	f.is.Equal(f.ended()[0].Reason, ReasonDomainDrained)
-	f.is.Equal(len(f.alive), 2)
-	free := f.free()
-	f.end(f.order(0).Run, job.Done)
+	f.is.Equal(len(f.active), 2)
+	free := f.freeCPU()
+	f.endRun(f.order(0).Run, job.Done)
 	f.hold()
-	f.is.Equal(len(f.alive), 1) // its capacity is free, and nothing starts
-	f.is.True(f.free() > free)
+	f.is.Equal(len(f.active), 1) // its capacity is free, and nothing starts
+	f.is.True(f.freeCPU() > free)
 }
 
 // An order that was sent before its sender learned of a drain must not start, also when the
@@ -33,13 +33,13 @@
 func TestOrderInADrainedDomainIsRefused(t *testing.T) {
 	f := newFixture(t)
 	for i := range 4 {
-		f.take(f.DrainDomain(f.now, true))
+		f.collect(f.DrainDomain(f.now, true))
 		f.is.True(!f.Load(f.now).Accepts)
 		f.is.True(f.Load(f.now).Drained)
 		f.is.Equal(len(f.send(f.order(2*i)).Starts), 0)
-		f.take(f.DrainDomain(f.now, false))
+		f.collect(f.DrainDomain(f.now, false))
 		f.is.True(f.Load(f.now).Accepts)
-		f.pass(time.Millisecond)
+		f.advance(time.Millisecond)
 	}
 	f.is.Equal(len(f.ended()), 4)
 	f.is.Equal(len(f.send(f.order(9)).Starts), 1)
@@ -53,10 +53,10 @@
 	o := f.order(0)
 	fx := f.Order(f.now, o)
 	f.is.Equal(len(fx.Starts), 1)
-	f.take(f.DrainDomain(f.now, true))
-	f.take(f.StartAnswered(f.now, fx.Starts[0].Instance, o.Run, StartUnknown, ""))
+	f.collect(f.DrainDomain(f.now, true))
+	f.collect(f.StartAnswered(f.now, fx.Starts[0].Instance, o.Run, StartUnknown, ""))
 	for range 20 {
-		f.pass(50 * time.Millisecond)
+		f.advance(50 * time.Millisecond)
 		f.is.Equal(len(f.Tick(f.now).Starts), 0)
 	}
 }
--- a/coordination/worker/former_test.go
+++ b/coordination/worker/former_test.go
@@ -15,7 +15,7 @@
 	f := newFixture(t)
 	f.Former([]string{"entry-1/old", "entry-2/old"})
 	run := job.RunID{Task: job.TaskID{Job: "00000000000000ee"}, Number: 1}
-	f.alive[run] = true
+	f.active[run] = true
 	f.hold()
 	return f, run
 }
@@ -27,10 +27,10 @@
 // stopped before that, since an entry that is still alive may repeat its orders.
 func TestRunsOfEntriesThatAreGoneStopAtOnce(t *testing.T) {
 	f, run := newFixtureWithFormerRun(t)
-	f.claimAs("entry-1/new", private+1)
-	f.claimAs("entry-3/new", private+2)
+	f.claimAs("entry-1/new", bestEffortShard+1)
+	f.claimAs("entry-3/new", bestEffortShard+2)
 	f.is.Equal(len(f.stops), 0)
-	f.claimAs("entry-2/new", private+3)
+	f.claimAs("entry-2/new", bestEffortShard+3)
 	f.is.Equal(len(f.stops), 1)
 	f.is.Equal(f.stops[0].Run, run)
 }
@@ -39,33 +39,33 @@
 // time is over.
 func TestRunMayBeOfAnEntryThatLives(t *testing.T) {
 	f, _ := newFixtureWithFormerRun(t)
-	f.claimAs("entry-1/new", private+1)
-	f.claimAs("entry-2/old", private+2)
+	f.claimAs("entry-1/new", bestEffortShard+1)
+	f.claimAs("entry-2/old", bestEffortShard+2)
 	f.is.Equal(len(f.stops), 0)
-	f.pass(testBounds.Adoption + time.Millisecond)
-	f.take(f.Tick(f.now))
+	f.advance(testBounds.Adoption + time.Millisecond)
+	f.collect(f.Tick(f.now))
 	f.is.Equal(len(f.stops), 1)
 }
 
 // An entry is killed, its clients are cut off, and it starts again. The agent kept running and
 // knows which runs belong to the entry's earlier incarnation. These are stopped with the new
 // claim, and the runs of other owners go on.
-func TestNewLifeOfAnEntryEndsTheRunsOfTheEarlier(t *testing.T) {
+func TestNewIncarnationOfAnEntryStopsEarlierRuns(t *testing.T) {
 	f := newFixture(t)
-	f.claimAs("entry-1/old", private+1)
-	f.claimAs("entry-2/old", private+2)
-	for i, shard := range []int{private + 1, private + 2} {
+	f.claimAs("entry-1/old", bestEffortShard+1)
+	f.claimAs("entry-2/old", bestEffortShard+2)
+	for i, shard := range []int{bestEffortShard + 1, bestEffortShard + 2} {
 		o := f.order(i + 1)
 		o.Shard = shard
 		f.send(o)
 	}
-	f.claimAs("entry-1/new", private+3)
+	f.claimAs("entry-1/new", bestEffortShard+3)
 	f.is.Equal(len(f.stops), 1)
 	f.is.Equal(f.stops[0].Run.Number, int64(1))
 }
 
 func (f *fixture) claimAs(owner string, shard int) {
-	f.take(f.Claim(f.now, Claim{Shard: shard, Epoch: 1, Session: 1, Owner: owner}).Effects)
+	f.collect(f.Claim(f.now, Claim{Shard: shard, Epoch: 1, Session: 1, Owner: owner}).Effects)
 }
 
 // A backend server answers starts within a few milliseconds and then leaves one in twenty
@@ -92,16 +92,16 @@
 // shard. The ends of runs from before the restart were kept for owners and blocked every later
 // end on the backend server's list: eight seconds later the list was full, and no job was
 // served.
-func TestEndsOfAnEarlierLifeHoldUpNothing(t *testing.T) {
+func TestEndsOfAnEarlierIncarnationDoNotBlock(t *testing.T) {
 	f := newFixture(t)
 	f.Former([]string{"entry-1/old"})
 	old := job.RunID{Task: job.TaskID{Job: "00000000000000ee"}, Number: 1}
-	f.alive[old] = true
+	f.active[old] = true
 	f.hold()
-	f.end(old, job.Done)
+	f.endRun(old, job.Done)
 	f.hold()
 	f.is.Equal(f.hold().Acked, int64(1))
-	found := f.Claim(f.now, Claim{Shard: private + 1, Epoch: 1, Session: 1, Owner: "entry-1/old"})
+	found := f.Claim(f.now, Claim{Shard: bestEffortShard + 1, Epoch: 1, Session: 1, Owner: "entry-1/old"})
 	f.is.Equal(len(found.Runs), 1) // its entry may still be alive and claim it
 	f.is.True(!f.Orphaned(f.now + 2*orphanAfter))
 }
@@ -112,9 +112,9 @@
 func TestEndOfARecordedJobWaitsForItsOwner(t *testing.T) {
 	f := newFixture(t)
 	old := job.RunID{Task: job.TaskID{Job: "00000000000000ee"}, Number: 1}
-	f.alive[old] = true
+	f.active[old] = true
 	f.hold()
-	f.end(old, job.Done)
+	f.endRun(old, job.Done)
 	f.hold()
 	f.is.Equal(f.hold().Acked, int64(0))
 	f.is.True(!f.Orphaned(f.now))
@@ -131,8 +131,8 @@
 	}
 	usual, once := f.order(1), f.order(2)
 	once.Once = true
-	f.is.Equal(f.take(f.Order(f.now, usual)).Starts[0].Patience, leastPatience)
-	f.is.Equal(f.take(f.Order(f.now, once)).Starts[0].Patience, mostPatience)
+	f.is.Equal(f.collect(f.Order(f.now, usual)).Starts[0].Patience, leastPatience)
+	f.is.Equal(f.collect(f.Order(f.now, once)).Starts[0].Patience, mostPatience)
 }
 
 // A backend server on a busy host answers starts in 2 ms, but takes 60 ms to list a thousand
@@ -147,7 +147,7 @@
 		c, ok := f.Hold(f.now)
 		f.is.True(ok)
 		f.is.True(c.Patience >= want)
-		f.take(f.HoldFailed(f.now, c, NoAnswer))
+		f.collect(f.HoldFailed(f.now, c, NoAnswer))
 	}
 	c, _ := f.Hold(f.now)
 	f.is.Equal(c.Patience, mostPatience)
--- a/coordination/worker/worker_test.go
+++ b/coordination/worker/worker_test.go
@@ -12,38 +12,38 @@
 
 const (
 	testShards = 4
-	// private is the number of a shard for best-effort jobs.
-	private = testShards + 7
+	// bestEffortShard is the number of a shard for best-effort jobs.
+	bestEffortShard = testShards + 7
 )
 
 var testBounds = Bounds{Lease: time.Second, OwnerSilence: 1300 * time.Millisecond, Relink: 600 * time.Millisecond, Adoption: 300 * time.Millisecond, Shards: testShards}
 
-// recorded is the number of a shard whose jobs are recorded.
-const recorded = 0
+// recordedShard is the number of a shard whose jobs are recorded.
+const recordedShard = 0
 
 // fixture is a worker whose backend server has the capacity for two tasks. It collects the
 // worker's effects.
 type fixture struct {
 	*Worker
-	is    *is.I
-	now   time.Duration
-	clock int64
-	ends  []ListedEnd
-	alive map[job.RunID]bool
-	got   []Event
-	stops []StopCall
+	is     *is.I
+	now    time.Duration
+	clock  int64
+	ends   []ListedEnd
+	active map[job.RunID]bool
+	events []Event
+	stops  []StopCall
 }
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := &fixture{Worker: New(testBounds), is: is.New(t), now: time.Hour, clock: 5000, alive: make(map[job.RunID]bool)}
+	f := &fixture{Worker: New(testBounds), is: is.New(t), now: time.Hour, clock: 5000, active: make(map[job.RunID]bool)}
 	f.report("i-1", 1, false)
-	f.claim(private, 1, 1)
+	f.claim(bestEffortShard, 1, 1)
 	return f
 }
 
 func (f *fixture) report(instance string, seq int64, draining bool) {
-	f.take(f.Report(f.now, Server{
+	f.collect(f.Report(f.now, Server{
 		Instance: instance, Service: "desk", Labels: []string{"a", "r1"},
 		Capacity: job.Demand{CPUMillis: 3200, MemoryMB: 1000}, Draining: draining, Seq: seq,
 	}, f.clock))
@@ -53,21 +53,22 @@
 	return f.Claim(f.now, Claim{Shard: shard, Epoch: epoch, Session: session, Owner: "owner-" + strconv.Itoa(shard)})
 }
 
-// pass advances the local clock and the backend server's clock.
-func (f *fixture) pass(d time.Duration) {
+// advance advances the local clock and the backend server's clock.
+func (f *fixture) advance(d time.Duration) {
 	f.now += d
 	f.clock += d.Milliseconds()
 }
 
-func (f *fixture) take(fx Effects) Effects {
-	f.got = append(f.got, fx.Events...)
+// collect records effects of the worker and returns them.
+func (f *fixture) collect(fx Effects) Effects {
+	f.events = append(f.events, fx.Events...)
 	f.stops = append(f.stops, fx.Stops...)
 	return fx
 }
 
 func (f *fixture) order(number int) Order {
 	return Order{
-		Shard: private, Epoch: 1, Session: 1, Service: "desk", Demand: job.Demand{CPUMillis: 1600, MemoryMB: 64},
+		Shard: bestEffortShard, Epoch: 1, Session: 1, Service: "desk", Demand: job.Demand{CPUMillis: 1600, MemoryMB: 64},
 		Estimate: 100 * time.Millisecond, Due: f.now + time.Second,
 		Run: job.RunID{Task: job.TaskID{Job: "00000000000000aa", Index: number}, Number: 1},
 	}
@@ -75,13 +76,13 @@
 
 // send delivers an order and confirms the starts that result from it.
 func (f *fixture) send(o Order) Effects {
-	fx := f.take(f.Order(f.now, o))
-	f.confirm(fx)
+	fx := f.collect(f.Order(f.now, o))
+	f.confirmStarts(fx)
 	return fx
 }
 
-func (f *fixture) end(run job.RunID, kind job.EndKind) {
-	delete(f.alive, run)
+func (f *fixture) endRun(run job.RunID, kind job.EndKind) {
+	delete(f.active, run)
 	f.ends = append(f.ends, ListedEnd{Seq: int64(len(f.ends)) + 1, Run: run, Kind: kind})
 }
 
@@ -90,7 +91,7 @@
 	c, ok := f.Hold(f.now)
 	f.is.True(ok)
 	h := Holding{ClockMS: f.clock}
-	for run := range f.alive {
+	for run := range f.active {
 		h.Active = append(h.Active, Listed{Run: run})
 	}
 	for _, e := range f.ends {
@@ -98,22 +99,22 @@
 			h.Ends = append(h.Ends, e)
 		}
 	}
-	f.confirm(f.take(f.Held(f.now, c, h)))
+	f.confirmStarts(f.collect(f.Held(f.now, c, h)))
 	return c
 }
 
-// confirm makes the backend server carry out the starts and answer them.
-func (f *fixture) confirm(fx Effects) {
+// confirmStarts makes the backend server carry out the starts and answer them.
+func (f *fixture) confirmStarts(fx Effects) {
 	for _, s := range fx.Starts {
-		f.alive[s.Run] = true
-		f.take(f.StartAnswered(f.now, s.Instance, s.Run, StartOK, ""))
+		f.active[s.Run] = true
+		f.collect(f.StartAnswered(f.now, s.Instance, s.Run, StartOK, ""))
 	}
 }
 
 // ended returns the ends that were reported to owners.
 func (f *fixture) ended() []RunState {
 	var out []RunState
-	for _, e := range f.got {
+	for _, e := range f.events {
 		if e.State.Status == Ended {
 			out = append(out, e.State)
 		}
@@ -126,9 +127,9 @@
 	for i := range 3 {
 		f.send(f.order(i))
 	}
-	f.is.Equal(len(f.alive), 2) // the third order waits
+	f.is.Equal(len(f.active), 2) // the third order waits
 	f.is.Equal(f.Load(f.now).Waiting, 1)
-	f.end(f.order(0).Run, job.Done)
+	f.endRun(f.order(0).Run, job.Done)
 	f.is.Equal(f.Load(f.now).Free.CPUMillis, int64(0)) // capacity is free only once the end is listed
 	c, _ := f.Hold(f.now)
 	fx := f.Held(f.now, c, Holding{ClockMS: f.clock, Active: []Listed{{Run: f.order(1).Run}}, Ends: f.ends})
@@ -147,13 +148,13 @@
 	late.Due = f.now + late.Estimate + returnMargin
 	f.send(late) // waits
 	for n := 3; n < 8; n++ {
-		f.pass(100 * time.Millisecond)
-		f.Heard(f.now, "owner-"+strconv.Itoa(private))
+		f.advance(100 * time.Millisecond)
+		f.Heard(f.now, "owner-"+strconv.Itoa(bestEffortShard))
 		f.send(f.order(n)) // a second before its deadline
 	}
-	f.end(f.order(0).Run, job.Done)
+	f.endRun(f.order(0).Run, job.Done)
 	c, _ := f.Hold(f.now)
-	fx := f.take(f.Held(f.now, c, Holding{ClockMS: f.clock, Active: []Listed{{Run: f.order(1).Run}}, Ends: f.ends}))
+	fx := f.collect(f.Held(f.now, c, Holding{ClockMS: f.clock, Active: []Listed{{Run: f.order(1).Run}}, Ends: f.ends}))
 	f.is.Equal(len(fx.Starts), 1)
 	f.is.Equal(fx.Starts[0].Run, late.Run)
 }
@@ -161,7 +162,7 @@
 // Two owners see the same free capacity and send their orders at the same time. The second
 // order would wait until a task ends and be late although other workers have free capacity, so
 // it is returned to its owner at once. An order that can wait that long stays.
-func TestOrderThatWouldBeLateGoesBack(t *testing.T) {
+func TestOrderThatWouldBeLateIsReturned(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
 	f.send(f.order(1))
@@ -181,19 +182,19 @@
 // capacity reserved, and the owner must not start the task elsewhere, until the run is barred
 // here. Capacity freed at the time-out would let the late start overcommit the backend server,
 // and a task started elsewhere would run twice.
-func TestUnansweredStartKeepsItsRoomUntilItIsBarred(t *testing.T) {
+func TestUnansweredStartKeepsItsCapacityUntilItIsBarred(t *testing.T) {
 	f := newFixture(t)
 	first := f.order(0)
-	fx := f.take(f.Order(f.now, first))
+	fx := f.collect(f.Order(f.now, first))
 	f.is.Equal(len(fx.Starts), 1)
-	f.take(f.StartAnswered(f.now, "i-1", first.Run, StartUnknown, "time-out"))
+	f.collect(f.StartAnswered(f.now, "i-1", first.Run, StartUnknown, "time-out"))
 	f.send(f.order(1))
 	f.send(f.order(2))
 	f.is.Equal(f.Load(f.now).Waiting, 1) // the capacity of the first run is still reserved
 	f.hold()
 	f.is.Equal(len(f.stops), 1)   // the run is not listed, so a stop bars it permanently
 	f.is.Equal(len(f.ended()), 0) // nothing is certain yet
-	f.take(f.StopAnswered(f.now, "i-1", first.Run, true))
+	f.collect(f.StopAnswered(f.now, "i-1", first.Run, true))
 	f.hold()
 	f.is.Equal(f.ended()[0].End, job.NeverRan)
 	f.is.Equal(f.Load(f.now).Waiting, 0)
@@ -205,9 +206,9 @@
 	f := newFixture(t)
 	o := f.order(0)
 	fx := f.Order(f.now, o)
-	f.take(f.StartAnswered(f.now, "i-1", o.Run, StartUnknown, "time-out"))
+	f.collect(f.StartAnswered(f.now, "i-1", o.Run, StartUnknown, "time-out"))
 	f.hold()
-	f.take(f.StopAnswered(f.now, "i-1", o.Run, false))
+	f.collect(f.StopAnswered(f.now, "i-1", o.Run, false))
 	f.clock = fx.Starts[0].Deadline
 	f.hold()
 	f.is.Equal(len(f.ended()), 0)
@@ -218,12 +219,12 @@
 
 // The answer to a start is lost, but the run is active. The next list shows it, so it must not
 // be stopped: its work would be lost.
-func TestLostAnswerOfAStartCostsNothing(t *testing.T) {
+func TestLostAnswerOfAStartStopsNoRun(t *testing.T) {
 	f := newFixture(t)
 	o := f.order(0)
-	f.take(f.Order(f.now, o))
-	f.take(f.StartAnswered(f.now, "i-1", o.Run, StartUnknown, "time-out"))
-	f.alive[o.Run] = true
+	f.collect(f.Order(f.now, o))
+	f.collect(f.StartAnswered(f.now, "i-1", o.Run, StartUnknown, "time-out"))
+	f.active[o.Run] = true
 	f.hold()
 	f.is.Equal(len(f.stops), 0)
 	f.is.Equal(f.Load(f.now).Running, 1)
@@ -233,7 +234,7 @@
 // second on each server. A server that lost its waiting orders for that would be idle, and the
 // jobs of the returned orders late. The server keeps its orders, and holds follow in quick
 // succession, so that what a lost answer would have reported is known soon.
-func TestLostAnswersEmptyNoServer(t *testing.T) {
+func TestLostAnswersKeepWaitingOrders(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
 	f.send(f.order(1))
@@ -242,13 +243,13 @@
 	for range 3 {
 		c, ok := f.Hold(f.now)
 		f.is.True(ok)
-		f.take(f.HoldFailed(f.now, c, NoAnswer))
-		f.pass(70 * time.Millisecond)
+		f.collect(f.HoldFailed(f.now, c, NoAnswer))
+		f.advance(70 * time.Millisecond)
 	}
 	f.is.Equal(len(f.ended()), 0)
 	f.is.True(f.Load(f.now).Accepts)
 	f.is.True(f.hold().Lossy)
-	f.pass(lossMemory)
+	f.advance(lossMemory)
 	f.is.True(!f.hold().Lossy)
 }
 
@@ -262,7 +263,7 @@
 	for range silentHolds {
 		f.is.Equal(len(f.ended()), 0) // fewer lost answers have no effect
 		c, _ := f.Hold(f.now)
-		f.take(f.HoldFailed(f.now, c, NoAnswer))
+		f.collect(f.HoldFailed(f.now, c, NoAnswer))
 	}
 	f.is.Equal(f.ended()[0].Reason, "server_silent")
 	f.is.True(!f.Load(f.now).Accepts)
@@ -272,17 +273,17 @@
 
 // Tasks make no progress on a server that still answers and lists them as active. Every job
 // with a task there is lost unless the runs are stopped and started again elsewhere.
-func TestStalledServerIsLeftAlone(t *testing.T) {
+func TestStalledServerIsSuspended(t *testing.T) {
 	f := newFixture(t)
 	for i := range 5 {
 		o := f.order(i)
 		o.Demand.CPUMillis = 800
 		f.send(o)
 	}
-	f.pass(170 * time.Millisecond)
+	f.advance(170 * time.Millisecond)
 	f.hold()
 	f.is.True(f.Load(f.now).Accepts) // four tasks of 100 ms, each 70 % over its estimate
-	f.pass(10 * time.Millisecond)
+	f.advance(10 * time.Millisecond)
 	f.hold()
 	f.is.Equal(len(f.stops), 4)
 	f.is.Equal(f.ended()[0].Reason, "stalled") // the waiting order is returned
@@ -295,14 +296,14 @@
 	f := newFixture(t)
 	for i := range 8 {
 		f.send(f.order(i))
-		f.pass(300 * time.Millisecond)
-		f.Heard(f.now, "owner-"+strconv.Itoa(private))
-		f.end(f.order(i).Run, job.Done)
+		f.advance(300 * time.Millisecond)
+		f.Heard(f.now, "owner-"+strconv.Itoa(bestEffortShard))
+		f.endRun(f.order(i).Run, job.Done)
 		f.hold()
 		f.Settled(f.order(i).Run, false)
 	}
 	f.is.True(f.Load(f.now).Slowdown > 1.5)
-	f.pass(3 * slowMemory)
+	f.advance(3 * slowMemory)
 	f.is.Equal(f.Load(f.now).Slowdown, 1.0)
 }
 
@@ -314,8 +315,8 @@
 		o := f.order(i)
 		o.Estimate = 5 * time.Millisecond
 		f.send(o)
-		f.pass(60 * time.Millisecond)
-		f.end(o.Run, job.Done)
+		f.advance(60 * time.Millisecond)
+		f.endRun(o.Run, job.Done)
 		f.hold()
 		f.Settled(o.Run, false)
 	}
@@ -328,8 +329,8 @@
 	f := newFixture(t)
 	f.send(f.order(0))
 	for range 10 {
-		f.pass(100 * time.Millisecond)
-		f.Heard(f.now, "owner-"+strconv.Itoa(private))
+		f.advance(100 * time.Millisecond)
+		f.Heard(f.now, "owner-"+strconv.Itoa(bestEffortShard))
 		f.hold()
 	}
 	f.is.Equal(len(f.stops), 0)
@@ -341,7 +342,7 @@
 	f := newFixture(t)
 	c, _ := f.Hold(f.now)
 	f.send(f.order(0))
-	f.take(f.Held(f.now, c, Holding{ClockMS: f.clock}))
+	f.collect(f.Held(f.now, c, Holding{ClockMS: f.clock}))
 	f.is.Equal(len(f.ended()), 0)
 	f.is.Equal(f.Load(f.now).Running, 1)
 }
@@ -352,19 +353,19 @@
 // and started again.
 func TestEndOfALostOwnerDoesNotBlockTheOthers(t *testing.T) {
 	f := newFixture(t)
-	f.claim(private+1, 1, 1)
+	f.claim(bestEffortShard+1, 1, 1)
 	lost := f.order(0)
-	lost.Shard = private + 1
+	lost.Shard = bestEffortShard + 1
 	f.send(lost)
-	f.end(lost.Run, job.Done)
+	f.endRun(lost.Run, job.Done)
 	f.hold()
 	for i := 0; i < 30; i++ {
-		f.pass(100 * time.Millisecond)
-		f.Heard(f.now, "owner-"+strconv.Itoa(private))
+		f.advance(100 * time.Millisecond)
+		f.Heard(f.now, "owner-"+strconv.Itoa(bestEffortShard))
 		f.hold()
 	}
 	f.send(f.order(1))
-	f.end(f.order(1).Run, job.Done)
+	f.endRun(f.order(1).Run, job.Done)
 	f.hold()
 	f.Settled(f.order(1).Run, false)
 	f.is.Equal(f.hold().Acked, int64(2))
@@ -372,7 +373,7 @@
 
 // The list of ends is full and lacks the end of a run. The run must not be taken for lost: it
 // may have ended as done.
-func TestFullListSaysNothingOfWhatItLacks(t *testing.T) {
+func TestRunMissingFromFullListIsNotLost(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
 	c, _ := f.Hold(f.now)
@@ -381,8 +382,8 @@
 		run := job.RunID{Task: job.TaskID{Job: "00000000000000bb", Index: i}, Number: 1}
 		h.Ends = append(h.Ends, ListedEnd{Seq: int64(i + 1), Run: run, Kind: job.Done})
 	}
-	f.got = nil
-	f.take(f.Held(f.now, c, h))
+	f.events = nil
+	f.collect(f.Held(f.now, c, h))
 	for _, e := range f.ended() {
 		f.is.True(e.Run != f.order(0).Run)
 	}
@@ -397,7 +398,7 @@
 	f.is.True(f.claim(1, 5, 2).Refused) // a later claim of the old owner is refused
 	o := f.order(0)
 	o.Shard, o.Epoch = 1, 5
-	fx := f.take(f.Order(f.now, o))
+	fx := f.collect(f.Order(f.now, o))
 	f.is.Equal(len(fx.Starts)+len(fx.Events), 0)
 }
 
@@ -406,10 +407,10 @@
 // and has started the task elsewhere.
 func TestOrderAfterASuspensionIsDropped(t *testing.T) {
 	f := newFixture(t)
-	f.pass(testBounds.OwnerSilence)
-	fx := f.take(f.Order(f.now, f.order(0)))
+	f.advance(testBounds.OwnerSilence)
+	fx := f.collect(f.Order(f.now, f.order(0)))
 	f.is.Equal(len(fx.Starts), 0)
-	f.is.True(!f.Heard(f.now, "owner-"+strconv.Itoa(private))) // the owner has to claim again
+	f.is.True(!f.Heard(f.now, "owner-"+strconv.Itoa(bestEffortShard))) // the owner has to claim again
 }
 
 // The owner is cut off. Its runs are stopped here within a time limit, since the next owner
@@ -418,12 +419,12 @@
 	f := newFixture(t)
 	f.send(f.order(0))
 	for range 12 {
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 		f.hold()
 	}
-	f.pass(testBounds.OwnerSilence - 1200*time.Millisecond - time.Millisecond)
+	f.advance(testBounds.OwnerSilence - 1200*time.Millisecond - time.Millisecond)
 	f.is.Equal(len(f.Tick(f.now).Stops), 0)
-	f.pass(time.Millisecond)
+	f.advance(time.Millisecond)
 	f.is.Equal(len(f.Tick(f.now).Stops), 1)
 }
 
@@ -433,31 +434,31 @@
 func TestRunsOfALostLinkAreStoppedSooner(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
-	f.Unlinked(f.now, "owner-"+strconv.Itoa(private))
+	f.Unlinked(f.now, "owner-"+strconv.Itoa(bestEffortShard))
 	for range 5 {
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 		f.hold()
 	}
 	f.is.Equal(len(f.stops), 0) // the owner may reconnect
-	f.pass(100 * time.Millisecond)
-	f.take(f.Tick(f.now))
+	f.advance(100 * time.Millisecond)
+	f.collect(f.Tick(f.now))
 	f.is.Equal(len(f.stops), 1)
-	f.is.True(!f.Heard(f.now, "owner-"+strconv.Itoa(private)))
+	f.is.True(!f.Heard(f.now, "owner-"+strconv.Itoa(bestEffortShard)))
 }
 
 // The agent has restarted and finds a run from before the restart. It does not know how much
 // capacity the run takes, so nothing may start beside it. The run's owner learns of it through
 // its claim and repeats the order.
-func TestRunOfAnEarlierLifeIsAdopted(t *testing.T) {
+func TestRunOfAnEarlierIncarnationIsAdopted(t *testing.T) {
 	f := newFixture(t)
 	o := f.order(0)
-	f.alive[o.Run] = true
+	f.active[o.Run] = true
 	f.hold()
-	fx := f.take(f.Order(f.now, f.order(1)))
+	fx := f.collect(f.Order(f.now, f.order(1)))
 	f.is.Equal(len(fx.Starts), 0) // the demand of the found run is unknown
-	found := f.claim(private, 1, 1)
+	found := f.claim(bestEffortShard, 1, 1)
 	f.is.Equal(len(found.Runs), 2)
-	fx = f.take(f.Order(f.now, o))
+	fx = f.collect(f.Order(f.now, o))
 	f.is.Equal(len(fx.Starts), 1) // the waiting order starts
 }
 
@@ -468,9 +469,9 @@
 	f := newFixture(t)
 	o := f.order(0)
 	shard := o.Run.Task.Job.Shard(testShards)
-	f.alive[o.Run] = true
+	f.active[o.Run] = true
 	f.hold()
-	f.end(o.Run, job.Done)
+	f.endRun(o.Run, job.Done)
 	f.hold()
 	f.is.Equal(len(f.claim((shard+1)%testShards, 1, 1).Runs), 0)
 	f.is.Equal(len(f.claim(shard, 1, 1).Runs), 1)
@@ -481,11 +482,11 @@
 // elsewhere, 1.8 s after the loss, of which the restart may take up to the second of the lease.
 func TestRunThatNobodyKnowsIsStopped(t *testing.T) {
 	f := newFixture(t)
-	f.alive[f.order(0).Run] = true
+	f.active[f.order(0).Run] = true
 	f.hold()
 	for range 3 {
-		f.pass(100 * time.Millisecond)
-		f.Heard(f.now, "owner-"+strconv.Itoa(private))
+		f.advance(100 * time.Millisecond)
+		f.Heard(f.now, "owner-"+strconv.Itoa(bestEffortShard))
 		f.hold()
 	}
 	f.is.Equal(len(f.stops), 1)
@@ -493,36 +494,36 @@
 
 // A run from before the agent's restart ends before its owner repeats the order. The end was
 // reported to no owner that knows the job, so it must be reported again, or the job never ends.
-func TestEndBeforeAdoptionIsTold(t *testing.T) {
+func TestEndBeforeAdoptionIsReported(t *testing.T) {
 	f := newFixture(t)
 	o := f.order(0)
-	f.alive[o.Run] = true
+	f.active[o.Run] = true
 	f.hold()
-	f.end(o.Run, job.Done)
+	f.endRun(o.Run, job.Done)
 	f.hold()
-	f.got = nil
-	f.take(f.Order(f.now, o))
+	f.events = nil
+	f.collect(f.Order(f.now, o))
 	f.is.Equal(len(f.ended()), 1)
-	f.is.Equal(f.got[0].Shard, private)
+	f.is.Equal(f.events[0].Shard, bestEffortShard)
 }
 
 // The owner has started the task again after this end, so the end must never count. The lease
 // must expire before this end or a later one is acknowledged.
 func TestVoidEndIsAcknowledgedOnlyAfterTheLease(t *testing.T) {
 	f := newFixture(t)
-	f.claim(recorded, 1, 1)
+	f.claim(recordedShard, 1, 1)
 	o := f.order(0)
-	o.Shard = recorded
+	o.Shard = recordedShard
 	f.send(o)
-	f.end(o.Run, job.Done)
+	f.endRun(o.Run, job.Done)
 	f.hold()
 	f.Settled(f.order(0).Run, true)
 	c := f.hold()
 	f.is.Equal(c.Acked, int64(0))
 	f.is.Equal(c.Deadline, int64(0)) // the lease is not extended
-	f.pass(time.Second)
+	f.advance(time.Second)
 	f.is.Equal(f.hold().Acked, int64(0))
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	f.hold()
 	f.is.Equal(f.hold().Acked, int64(1))
 }
@@ -534,39 +535,39 @@
 func TestEndOfABestEffortJobIsAcknowledgedAtOnce(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
-	f.end(f.order(0).Run, job.Done)
+	f.endRun(f.order(0).Run, job.Done)
 	f.hold()
 	f.is.Equal(len(f.ended()), 1)
 	c := f.hold()
 	f.is.Equal(c.Acked, int64(1))
 	f.is.True(!c.Known)
-	runs := f.claim(private, 1, 2).Runs
+	runs := f.claim(bestEffortShard, 1, 2).Runs
 	f.is.Equal(len(runs), 1) // its owner may not know of it
 	f.is.Equal(runs[0].End, job.Done)
 	f.Settled(f.order(0).Run, false)
-	f.is.Equal(len(f.claim(private, 1, 3).Runs), 0)
+	f.is.Equal(len(f.claim(bestEffortShard, 1, 3).Runs), 0)
 }
 
 // As above, but the owner does not return. Its end must not be kept forever.
 func TestAcknowledgedEndOfALostOwnerIsForgotten(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
-	f.end(f.order(0).Run, job.Done)
+	f.endRun(f.order(0).Run, job.Done)
 	f.hold()
-	f.pass(testBounds.OwnerSilence)
+	f.advance(testBounds.OwnerSilence)
 	f.hold()
-	f.is.Equal(len(f.claim(private, 1, 2).Runs), 0)
+	f.is.Equal(len(f.claim(bestEffortShard, 1, 2).Runs), 0)
 }
 
 // The end of a recorded job's run waits for the job's record. While the backend server lists
 // that end, holds return at once without news, and the call tells the driver so.
 func TestHoldTellsOfEndsThatWaitForTheirRecord(t *testing.T) {
 	f := newFixture(t)
-	f.claim(recorded, 1, 1)
+	f.claim(recordedShard, 1, 1)
 	o := f.order(0)
-	o.Shard = recorded
+	o.Shard = recordedShard
 	f.send(o)
-	f.end(o.Run, job.Done)
+	f.endRun(o.Run, job.Done)
 	f.hold()
 	c := f.hold()
 	f.is.Equal(c.Acked, int64(0))
@@ -579,15 +580,15 @@
 
 // The backend server is unreachable. Its capacity is free, and its runs are lost, only when the
 // lease has expired on a clock that runs 2 % slow.
-func TestUnreachableServerKeepsRoomUntilItsLeaseHasExpired(t *testing.T) {
+func TestUnreachableServerKeepsCapacityUntilItsLeaseHasExpired(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
-	f.pass(1020 * time.Millisecond)
-	f.Heard(f.now, "owner-"+strconv.Itoa(private))
-	f.take(f.Tick(f.now))
+	f.advance(1020 * time.Millisecond)
+	f.Heard(f.now, "owner-"+strconv.Itoa(bestEffortShard))
+	f.collect(f.Tick(f.now))
 	f.is.Equal(len(f.ended()), 0)
-	f.pass(100 * time.Millisecond)
-	f.take(f.Tick(f.now))
+	f.advance(100 * time.Millisecond)
+	f.collect(f.Tick(f.now))
 	f.is.Equal(f.ended()[0].End, job.Lapsed)
 }
 
@@ -600,10 +601,10 @@
 		f.send(f.order(0))
 		f.hold()
 		for f.now < time.Hour+1800*time.Millisecond {
-			f.pass(50 * time.Millisecond)
-			f.Heard(f.now, "owner-"+strconv.Itoa(private))
+			f.advance(50 * time.Millisecond)
+			f.Heard(f.now, "owner-"+strconv.Itoa(bestEffortShard))
 			c, _ := f.Hold(f.now)
-			f.take(f.HoldFailed(f.now, c, why))
+			f.collect(f.HoldFailed(f.now, c, why))
 			if why == NotSent && f.now > time.Hour+1200*time.Millisecond {
 				f.is.Equal(len(f.ended()), 1)
 			}
@@ -619,7 +620,7 @@
 	}
 	f.report("i-1", 2, true)
 	f.is.Equal(f.ended()[0].Reason, "draining") // the waiting order is returned
-	fx := f.take(f.Order(f.now, f.order(3)))
+	fx := f.collect(f.Order(f.now, f.order(3)))
 	f.is.Equal(len(fx.Starts), 0)
 	f.report("i-1", 1, false) // a delayed report
 	f.is.True(!f.Load(f.now).Accepts)
@@ -627,7 +628,7 @@
 
 // All hosts lost power. An agent answers no claim before it has seen its server's lists, and no
 // job is served until then, so its first hold must not wait for an end that may never come.
-func TestFirstLookWaitsForNothing(t *testing.T) {
+func TestFirstHoldDoesNotWait(t *testing.T) {
 	f := newFixture(t)
 	f.is.True(!f.Ready(0))
 	c := f.hold()
@@ -644,15 +645,15 @@
 		f.send(f.order(i))
 	}
 	fx, empty := f.Drain()
-	f.take(fx)
+	f.collect(fx)
 	f.is.True(!empty)
 	f.is.Equal(f.ended()[0].Reason, "agent_draining")
 	f.report("i-1", 2, false)
-	f.take(f.Order(f.now, f.order(3)))
+	f.collect(f.Order(f.now, f.order(3)))
 	f.is.Equal(f.ended()[1].Reason, "agent_draining")
-	f.is.Equal(len(f.alive), 2)
+	f.is.Equal(len(f.active), 2)
 	for i := range 2 {
-		f.end(f.order(i).Run, job.Done)
+		f.endRun(f.order(i).Run, job.Done)
 		f.hold()
 		f.Settled(f.order(i).Run, false)
 	}
@@ -666,7 +667,7 @@
 func TestNewInstanceGetsWorkAtOnce(t *testing.T) {
 	f := newFixture(t)
 	c, _ := f.Hold(f.now)
-	f.take(f.HoldFailed(f.now, c, NotSent))
+	f.collect(f.HoldFailed(f.now, c, NotSent))
 	f.is.True(!f.Load(f.now).Accepts)
 	f.report("i-2", 1, false)
 	f.is.True(f.Load(f.now).Accepts)
@@ -687,13 +688,13 @@
 	f := newFixture(t)
 	for i := range failuresInRow {
 		f.send(f.order(i))
-		f.end(f.order(i).Run, job.FailedRun)
+		f.endRun(f.order(i).Run, job.FailedRun)
 		f.hold()
 	}
 	f.is.True(!f.Load(f.now).Accepts)
-	f.pass(suspension)
-	f.Heard(f.now, "owner-"+strconv.Itoa(private))
-	f.take(f.Tick(f.now))
+	f.advance(suspension)
+	f.Heard(f.now, "owner-"+strconv.Itoa(bestEffortShard))
+	f.collect(f.Tick(f.now))
 	f.is.True(f.Load(f.now).Accepts) // the server is tried again
 }
 
@@ -708,7 +709,7 @@
 		f.send(o)
 	}
 	for range 20 {
-		f.pass(50 * time.Millisecond)
+		f.advance(50 * time.Millisecond)
 		f.hold()
 	}
 	f.is.Equal(len(f.stops), 0)
@@ -739,22 +740,22 @@
 // The host was suspended for longer than the lease. Right afterwards an order arrives, and its
 // run ends before the backend server's lists were seen again. That end must be reported: taken
 // for an end of a run that lapsed, it would reach no owner, and its job would never end.
-func TestRunStartedAfterTheLeaseHasRunOutIsTold(t *testing.T) {
+func TestRunStartedAfterTheLeaseHasRunOutIsReported(t *testing.T) {
 	f := newFixture(t)
 	f.claim(1, 5, 1)
 	first, second := f.order(0), f.order(1)
 	first.Shard, first.Epoch = 1, 5
 	second.Shard, second.Epoch = 1, 5
 	f.send(first)
-	f.pass(1200 * time.Millisecond)
-	f.take(f.Tick(f.now))
+	f.advance(1200 * time.Millisecond)
+	f.collect(f.Tick(f.now))
 	f.is.Equal(f.ended()[0].Run, first.Run)
-	f.end(first.Run, job.Lapsed)
+	f.endRun(first.Run, job.Lapsed)
 	f.claim(1, 5, 2)
 	second.Session = 2
 	f.send(second)
-	f.is.True(f.alive[second.Run])
-	f.end(second.Run, job.Done)
+	f.is.True(f.active[second.Run])
+	f.endRun(second.Run, job.Done)
 	f.hold()
 	f.is.Equal(len(f.ended()), 2)
 	f.is.Equal(f.ended()[1].Run, second.Run)
@@ -773,26 +774,26 @@
 	f.is.Equal(f.ended()[0].End, job.Lapsed)
 	o.Repeat = true
 	f.is.Equal(len(f.send(o).Starts), 0)
-	f.is.Equal(len(f.claim(private, 1, 2).Runs), 0)
+	f.is.Equal(len(f.claim(bestEffortShard, 1, 2).Runs), 0)
 }
 
 // An owner gives a shard up while its link is down, so that the agent does not learn of it, and
 // no other owner claims the shard at this agent. Each frame of the owner's next link was taken
 // for one of a silent owner: for a minute each link ended with its first frame, and nothing of
 // the owner's other shards was placed here.
-func TestShardGivenUpUnheardEndsNoLink(t *testing.T) {
+func TestReleasedShardDoesNotEndTheNextLink(t *testing.T) {
 	f := newFixture(t)
 	own := func(shard int, session int64) Claim {
 		return Claim{Shard: shard, Epoch: 1, Session: session, Owner: "owner"}
 	}
 	f.Claim(f.now, own(1, 1))
 	f.Claim(f.now, own(2, 1))
-	f.pass(2 * testBounds.OwnerSilence)
+	f.advance(2 * testBounds.OwnerSilence)
 	f.is.True(!f.Heard(f.now, "owner")) // a late frame after the link recovered must not revive the claims
 
 	f.Claim(f.now, own(1, 2)) // shard 2 was given up
 	for range 20 {
 		f.is.True(f.Heard(f.now, "owner"))
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 	}
 }
