--- a/coordination/subset/subset.go
+++ b/coordination/subset/subset.go
@@ -105,7 +105,7 @@
 
 func hash(s string) uint64 {
 	h := fnv.New64a()
-	h.Write([]byte(s)) //nolint:errcheck // hash.Hash.Write never returns an error
+	h.Write([]byte(s)) //nolint:errcheck // it never fails
 	return mix(h.Sum64())
 }
 
