--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -26,7 +26,7 @@
 	usage map[string]*usage // guarded by mu
 }
 
-// usage is the usage of one operator. Guarded by Table.mu.
+// usage is the usage of one operator. Guarded by Limiter.mu.
 type usage struct {
 	inFlight int
 	// tokens is the number of tasks that may be accepted now. A job is accepted as a whole while
@@ -39,7 +39,7 @@
 	recent sliding.Window
 }
 
-// New returns the Table of one entry out of the given number of entries.
+// New returns the Limiter of one entry out of the given number of entries.
 func New(entries int) *Limiter {
 	return &Limiter{entries: max(1, entries), usage: make(map[string]*usage)}
 }
--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -262,7 +262,7 @@
 	return out
 }
 
-// Share implements linkUser: an owner's numbers are its shards.
+// Share implements linkUser: an owner's buckets are its shards.
 func (a *Agent) Share() subset.Share {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/daemon/core/links.go
+++ b/daemon/core/links.go
@@ -32,7 +32,7 @@
 // linkUser is the process whose links a set keeps. Its methods may be called at any time
 // but while it holds a lock of its own.
 type linkUser interface {
-	// Share is what the process holds of the numbers by which agents are chosen.
+	// Share is what the process holds of the hash buckets by which agents are chosen.
 	Share() subset.Share
 	// Required names agents that have to be linked whatever the choice is.
 	Required() []string
