--- a/coordination/owner/crash_test.go
+++ b/coordination/owner/crash_test.go
@@ -281,8 +281,8 @@
 }
 
 // Of two servers that were lost under a task, one comes back as the same instance, and then a
-// third one is lost. The record holds two crashes at that point, but not the last one: the task
-// waits for the record of that one too.
+// third one is lost. The stored record holds two crashes at that point, but not the last one:
+// the task waits for the record of that one too.
 func TestSuspectWaitsForItsLastCrash(t *testing.T) {
 	f := newCrashFixture(t)
 	first := f.submitSingle()
--- a/coordination/owner/takeover_test.go
+++ b/coordination/owner/takeover_test.go
@@ -169,8 +169,8 @@
 
 // An owner that was unconfirmed when a link came up claimed all links once the group confirmed
 // it, including those already claimed. An order was sent while a second claim was on its way;
-// the answer did not list the run, so it was taken for lost and started elsewhere, and the task
-// ran twice at a time. A link must be claimed only once.
+// the answer did not list the run, so it was taken for lost and started elsewhere, and two runs
+// of the task were active at the same time. A link must be claimed only once.
 func TestLinkIsClaimedOnce(t *testing.T) {
 	f := newFixture(t, nil, nil, "a", "b")
 	_, ok, fx := f.Linked(f.now, "a", 1)
--- a/coordination/worker/crash_test.go
+++ b/coordination/worker/crash_test.go
@@ -121,8 +121,8 @@
 	f.is.Equal(len(f.claim(recordedShard, 6, 4).Lost), 0)
 }
 
-// Two tasks under which servers were lost arrive at one server. If both ran at a time, the next
-// crash would have two suspects again, so the second waits until the first has ended.
+// Two tasks under which servers were lost arrive at one server. If both ran at the same time,
+// the next crash would have two suspects again, so the second waits until the first has ended.
 func TestSuspectsAreKeptApart(t *testing.T) {
 	f := newFixture(t)
 	first, second := f.order(0), f.order(1)
