--- a/coordination/drains/drains.go
+++ b/coordination/drains/drains.go
@@ -1,10 +1,10 @@
-// Package drains keeps what one process knows of drained failure domains: those in which
-// operators want nothing newly started. Processes that read the store learn of drains
-// there; all others are told by those that they have links with. The records stand in one
-// partition of the store, so a State is ordered by how far that was read, and what a
-// process knows never goes back to an older one.
+// Package drains tracks which failure domains operators have drained, that is, in which no new
+// work may start. Processes that read the store learn of drains from it. All others learn of
+// them from their link peers. The records are kept in one partition of the store, so states are
+// ordered by the position up to which that partition was read, and a process never goes back to
+// an older state.
 //
-// Nothing here opens a socket or reads a clock: times are readings of the boot clock.
+// The package opens no sockets and reads no clock: times are readings of the boot clock.
 package drains
 
 import (
@@ -14,18 +14,17 @@
 	"time"
 )
 
-// Change is one record of the operators.
+// Change is one drain record: an operator drained a failure domain or ended its drain.
 type Change struct {
 	Domain  string
 	Drained bool
 }
 
-// State is what is in force at a position of the operators' records. It is never changed
-// once made.
+// State holds the drains in force at a position of the operators' records. It is immutable.
 type State struct {
-	// Position is how far the records were read; zero: nothing is known yet.
+	// Position is how far the records were read. Zero means that nothing is known yet.
 	Position int64
-	// Domains are the drained failure domains, sorted.
+	// Domains holds the drained failure domains, sorted.
 	Domains []string
 }
 
@@ -35,69 +34,70 @@
 	return found
 }
 
-// Book is what a process knows. It is safe for concurrent use.
-type Book struct {
+// Tracker holds the newest drain state that a process knows. It is safe for concurrent use.
+type Tracker struct {
 	mu sync.Mutex
 	// known is the newest state. Guarded by mu.
 	known State
-	// asOf is when the store confirmed last that there was none newer. Guarded by mu.
-	asOf time.Duration
+	// confirmedAt is when the store last confirmed that known is the newest state. Guarded by mu.
+	confirmedAt time.Duration
 }
 
-// State returns the newest state that is known.
-func (b *Book) State() State {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.known
+// State returns the newest known state.
+func (t *Tracker) State() State {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.known
 }
 
-// Latest returns the newest state, and how long ago the store confirmed it.
-func (b *Book) Latest(now time.Duration) (State, time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.known, now - b.asOf
+// Latest returns the newest known state and how long ago the store confirmed it.
+func (t *Tracker) Latest(now time.Duration) (State, time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.known, now - t.confirmedAt
 }
 
-// Told takes in a state that was confirmed so long ago, by the store or by another process.
-// It reports whether other domains are drained now.
-func (b *Book) Told(now time.Duration, s State, age time.Duration) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s.Position == 0 || s.Position < b.known.Position {
-		// Told by a process that has lost the store, an older state would have work go to
-		// a domain that is drained.
+// Update merges a state that the store confirmed age ago; it comes from the store or from
+// another process. It reports whether the set of drained domains changed.
+func (t *Tracker) Update(now time.Duration, s State, age time.Duration) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s.Position == 0 || s.Position < t.known.Position {
+		// A process that has lost the store may still send an older state. Accepting it
+		// would send work to a drained domain.
 		return false
 	}
-	b.asOf = max(b.asOf, now-max(age, 0))
-	if s.Position == b.known.Position {
+	t.confirmedAt = max(t.confirmedAt, now-max(age, 0))
+	if s.Position == t.known.Position {
 		return false
 	}
-	changed := !slices.Equal(s.Domains, b.known.Domains)
-	b.known = s
+	changed := !slices.Equal(s.Domains, t.known.Domains)
+	t.known = s
 	return changed
 }
 
-// Reader follows the operators' records for a Book. One goroutine uses it.
-type Reader struct {
-	book    *Book
+// Replayer applies the operators' records to a Tracker. It is not safe for concurrent use.
+type Replayer struct {
+	tracker *Tracker
 	domains map[string]bool
 }
 
-// NewReader returns a reader that goes on where a book's state ends.
-func NewReader(b *Book) *Reader {
-	r := &Reader{book: b, domains: make(map[string]bool)}
-	for _, domain := range b.State().Domains {
+// NewReplayer returns a Replayer that continues from the tracker's state.
+func NewReplayer(t *Tracker) *Replayer {
+	r := &Replayer{tracker: t, domains: make(map[string]bool)}
+	for _, domain := range t.State().Domains {
 		r.domains[domain] = true
 	}
 	return r
 }
 
-// Begin forgets what was read: the newest records follow. A drain may have ended while
-// nobody read, and no record of that is left.
-func (r *Reader) Begin() { clear(r.domains) }
+// Reset discards what was read, before the newest record of each domain is read again. A drain
+// may have ended while nothing was read, and the record of that may be gone from the store's
+// history.
+func (r *Replayer) Reset() { clear(r.domains) }
 
-// Apply takes in a record.
-func (r *Reader) Apply(c Change) {
+// Apply applies one record.
+func (r *Replayer) Apply(c Change) {
 	if c.Drained {
 		r.domains[c.Domain] = true
 		return
@@ -105,8 +105,8 @@
 	delete(r.domains, c.Domain)
 }
 
-// Reached notes that the store has returned all records before a position. It reports
-// whether other domains are drained now.
-func (r *Reader) Reached(now time.Duration, position int64) bool {
-	return r.book.Told(now, State{Position: position, Domains: slices.Sorted(maps.Keys(r.domains))}, 0)
+// Publish updates the tracker with the state at a position, once the store has returned all
+// records before it. It reports whether the set of drained domains changed.
+func (r *Replayer) Publish(now time.Duration, position int64) bool {
+	return r.tracker.Update(now, State{Position: position, Domains: slices.Sorted(maps.Keys(r.domains))}, 0)
 }
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -1,5 +1,5 @@
-// Package quota bounds what each operator may have at once. Time comes in as
-// now; nothing here reads a clock. A table is safe for concurrent use.
+// Package quota limits the tasks that each operator may have in flight and may submit per
+// second. Times are passed in as now, and no clock is read.
 package quota
 
 import (
@@ -9,60 +9,62 @@
 	"github.com/shallotstep/shallotstep/state/sliding"
 )
 
-// Limits are an operator's quota, as declared.
+// Limits is an operator's quota as declared, over all entries.
 type Limits struct {
-	// InFlight is how many accepted tasks may be unanswered.
+	// InFlight is the maximum number of accepted tasks without an answer.
 	InFlight int
-	// PerSecond is how many tasks are accepted per second.
+	// PerSecond is the maximum number of tasks accepted per second.
 	PerSecond int
 }
 
-// Table holds what the operators use at one entry. Several entries each have a
-// part of every quota.
-type Table struct {
+// Limiter tracks the usage of each operator at one entry. Each entry enforces an equal part of
+// every quota. It is safe for concurrent use.
+type Limiter struct {
 	entries int
 
 	mu    sync.Mutex
 	usage map[string]*usage // guarded by mu
 }
 
-// usage is one operator's. Guarded by Table.mu.
+// usage is the usage of one operator. Guarded by Limiter.mu.
 type usage struct {
 	inFlight int
-	// tokens are tasks that may be accepted now. A job is accepted whole when
-	// there is any, and takes them below zero: a job larger than a second's
-	// tasks would otherwise never be accepted.
-	tokens float64
-	filled time.Duration
-	// recent are the tasks accepted within the last second. With the tokens alone the end
-	// of a pause would let two seconds' tasks pass within one.
+	// tokens is the number of tasks that may be accepted now. A job is accepted as a whole while
+	// any token is left and may make the balance negative; otherwise a job with more tasks than
+	// one second's quota would never be accepted.
+	tokens     float64
+	refilledAt time.Duration
+	// recent counts the tasks accepted within the last second. The tokens alone would allow twice
+	// the quota within one second at the end of a pause.
 	recent sliding.Window
 }
 
-// New returns the table of one of a number of entries.
-func New(entries int) *Table {
-	return &Table{entries: max(1, entries), usage: make(map[string]*usage)}
+// New returns the Limiter of one entry out of the given number of entries.
+func New(entries int) *Limiter {
+	return &Limiter{entries: max(1, entries), usage: make(map[string]*usage)}
 }
 
-// Take books tasks, or says in how long there may be room for them again.
-func (t *Table) Take(now time.Duration, operator string, l Limits, tasks int) (time.Duration, bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	rate := float64(l.PerSecond) / float64(t.entries)
-	u := t.usage[operator]
+// Take charges tasks to an operator. If a limit is exceeded, it charges nothing and returns
+// false and the time after which to try again.
+func (l *Limiter) Take(now time.Duration, operator string, limits Limits, tasks int) (time.Duration, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	rate := float64(limits.PerSecond) / float64(l.entries)
+	u := l.usage[operator]
 	if u == nil {
-		u = &usage{tokens: rate, filled: now, recent: sliding.Window{Span: time.Second}}
-		t.usage[operator] = u
+		u = &usage{tokens: rate, refilledAt: now, recent: sliding.Window{Span: time.Second}}
+		l.usage[operator] = u
 	}
-	u.fill(now, rate)
+	u.refill(now, rate)
 	if u.tokens <= 0 {
 		return time.Duration((1 - u.tokens) / rate * float64(time.Second)), false
 	}
-	// A job that is larger than a second's tasks fits into none, and is paid off.
-	if most := int(rate) - tasks; most >= 0 && u.recent.Sum(now) > most {
-		return u.recent.Wait(now, most), false
+	// A job larger than one second's quota fits into no second. It is accepted, and the negative
+	// token balance delays the jobs after it.
+	if maxRecent := int(rate) - tasks; maxRecent >= 0 && u.recent.Sum(now) > maxRecent {
+		return u.recent.Wait(now, maxRecent), false
 	}
-	if room := float64(l.InFlight) / float64(t.entries); float64(u.inFlight+tasks) > room {
+	if maxInFlight := float64(limits.InFlight) / float64(l.entries); float64(u.inFlight+tasks) > maxInFlight {
 		return time.Second, false
 	}
 	u.tokens -= float64(tasks)
@@ -71,29 +73,29 @@
 	return 0, true
 }
 
-// fill adds what has become free; a second's tasks are kept at most.
-func (u *usage) fill(now time.Duration, rate float64) {
-	u.tokens = min(rate, u.tokens+(now-u.filled).Seconds()*rate)
-	u.filled = now
+// refill adds the tokens earned since the last call, up to one second's quota.
+func (u *usage) refill(now time.Duration, rate float64) {
+	u.tokens = min(rate, u.tokens+(now-u.refilledAt).Seconds()*rate)
+	u.refilledAt = now
 }
 
-// Refund takes back what Take has booked for tasks that turned out to be known: a
-// repeat takes nothing from a quota.
-func (t *Table) Refund(operator string, tasks int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if u := t.usage[operator]; u != nil {
+// Refund reverses a Take for a submission of a job that was already known: a resubmission is
+// not charged to the quota.
+func (l *Limiter) Refund(operator string, tasks int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if u := l.usage[operator]; u != nil {
 		u.inFlight -= tasks
 		u.tokens += float64(tasks)
 		u.recent.Forget(tasks)
 	}
 }
 
-// Release returns tasks that were answered.
-func (t *Table) Release(operator string, tasks int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if u := t.usage[operator]; u != nil {
+// Release returns tasks that have been answered.
+func (l *Limiter) Release(operator string, tasks int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if u := l.usage[operator]; u != nil {
 		u.inFlight -= tasks
 	}
 }
