--- a/coordination/owner/admission.go
+++ b/coordination/owner/admission.go
@@ -7,25 +7,26 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// admission is what was decided about a submission. All times count from it.
+// admission is the decision on a submission. All durations are relative to the time of the
+// decision.
 type admission struct {
-	// reason is why it is refused; empty: it is accepted.
+	// reason is why the job is refused; empty if it is accepted.
 	reason     string
 	retryAfter time.Duration
-	// due is when the job has to end, in time or late, and useful the end of the time
-	// in which an answer is of use; zero: that has no end.
+	// due is when the job has to end, whether in time or late. useful is until when an answer is of
+	// use; zero: no end.
 	due, useful time.Duration
-	// yields is set for a job that is accepted to be late.
+	// yields is set for a job that is accepted although it will miss its objective.
 	yields bool
-	// wait is the predicted one, here the part of it behind tasks that wait at this owner,
-	// and waited what the client has waited before.
+	// wait is the predicted wait, here the part of it behind tasks that wait at this owner, and
+	// waited how long the client has waited already.
 	wait, here, waited time.Duration
-	// objective is the job's, limit the longest wait with which it is accepted as one in
-	// time, and late when it would end as a late one.
+	// objective is the job's latency objective, limit the longest wait with which it is accepted as
+	// in time, and late when it would end if accepted as late.
 	objective, limit, late time.Duration
 }
 
-// wordLate is the decision on a job that is accepted to be late.
+// wordLate is the Decision.Kind of a job that is accepted as late.
 const wordLate = "accepted_late"
 
 func (a *admission) word() string {
@@ -35,11 +36,12 @@
 	return "accepted"
 }
 
-// admitLocked accepts what can be served in time. A job that is accepted as such and
-// then late takes room from others, which are late in turn, until nothing is in time
-// under a load just above what the workers carry. So a best-effort job that can only
-// be late is accepted to run in the room that the others leave, if that is in time
-// to be of use; everything else is refused at once.
+// admitLocked decides whether to accept a job.
+//
+// A job that is accepted as in time and then ends late takes capacity from others, which become
+// late in turn, until nothing is in time under a load just above what the workers carry. So a
+// best-effort job that can only be late is accepted only for the capacity that jobs in time leave
+// over, and only if it then ends while its answer is of use. Everything else is refused at once.
 func (s *Shard) admitLocked(now time.Duration, spec *job.Spec, p *job.Policy) admission {
 	if s.storeBad && !spec.BestEffort {
 		return admission{reason: ReasonStore, retryAfter: time.Second}
@@ -65,8 +67,8 @@
 	}
 	idle := a.wait <= s.fleet.params.MinWait
 	if waited > 0 && a.useful < chain && idle {
-		// It is of no use by the users' figure, but its client still waits, and there
-		// is room.
+		// By LateFactor an answer is of no use any more, but the client still waits for it and
+		// there is free capacity.
 		a.useful = spec.Patience
 	}
 	if a.late = s.lateEndLocked(now, spec, p, a.wait+chain, a.useful); !s.worthLate(a.late, a.useful) {
@@ -77,9 +79,9 @@
 	return a
 }
 
-// predictLocked is how long the last of a step's tasks would wait, here and at its
-// worker, and the part of it here. The other owners are taken to have as much waiting as
-// this one.
+// predictLocked predicts how long the last of a step's tasks would wait, at this owner and at its
+// worker, and returns the part at this owner too. It assumes that the other owners have as much
+// work waiting as this one. ok is false if no agent is eligible.
 func (s *Shard) predictLocked(n Need, where placeKey, tasks int) (wait, here time.Duration, ok bool) {
 	finish, ok := s.fleet.Predict(n, tasks, s.mayOrderLocked)
 	if !ok {
@@ -92,7 +94,7 @@
 	return finish - n.Estimate + here, here, true
 }
 
-// noWorkerReason is why no agent may have a task.
+// noWorkerReason returns the reason why no agent may have a task.
 func (s *Shard) noWorkerReason(n Need) string {
 	if s.fleet.DrainedOnly(n, s.mayOrderLocked) {
 		return ReasonDrained
@@ -100,13 +102,15 @@
 	return ReasonNoWorker
 }
 
-// expectsAgents reports whether agents are still to be linked after the start.
+// expectsAgents reports whether the owner of a best-effort job has started so recently that its
+// links to agents may still be coming up.
 func (s *Shard) expectsAgents(now time.Duration, spec *job.Spec) bool {
 	return spec.BestEffort && now-s.opened < s.fleet.params.Arrival
 }
 
-// usefulFor is how long an answer to a best-effort job is of use, by the users'
-// figure and by its client's word. Recorded jobs are carried out whenever it may be.
+// usefulFor returns for how long after its submission an answer to a best-effort job is of use:
+// LateFactor times its objective, but no longer than its client waits. Zero: no end. Recorded jobs
+// are carried out however late they are.
 func (s *Shard) usefulFor(spec *job.Spec, objective time.Duration) time.Duration {
 	if !spec.BestEffort || s.fleet.params.LateFactor == 0 {
 		return 0
@@ -118,7 +122,7 @@
 	return useful
 }
 
-// usefulFor sets until when an answer is of use; zero: without end.
+// usefulFor sets until when an answer is of use; a length of zero means no end.
 func (j *jobState) usefulFor(now, length time.Duration) {
 	j.useful = 0
 	if length > 0 {
@@ -126,14 +130,14 @@
 	}
 }
 
-// worthLate reports whether a job that can't be in time can surely be of use, by when it
-// would end. Accepted in vain it would hold its client, who could have gone elsewhere.
+// worthLate reports whether a late job is predicted to end early enough for its answer to be of
+// use. A job accepted in vain would hold its client, which could have sent it to another entry.
 func (s *Shard) worthLate(end, useful time.Duration) bool {
 	return useful != 0 && end <= time.Duration(s.fleet.params.LateShare*float64(useful))
 }
 
-// lateEndLocked is when a job would end in the room that those in time leave; zero if it
-// can't be of use late.
+// lateEndLocked predicts when a job would end that runs only in the capacity that jobs in time
+// leave over. It returns zero if a late answer is of no use.
 func (s *Shard) lateEndLocked(now time.Duration, spec *job.Spec, p *job.Policy, took, useful time.Duration) time.Duration {
 	if useful == 0 {
 		return 0
@@ -150,7 +154,7 @@
 	return took
 }
 
-// refusalLocked is what a refusal was decided by.
+// refusalLocked returns the figures that a refusal is based on.
 func (s *Shard) refusalLocked(now time.Duration, spec *job.Spec, p *job.Policy, a *admission) *Refusal {
 	r := &Refusal{
 		Predicted: a.wait, Here: a.here, Limit: a.limit, Late: a.late, Objective: a.objective, Waited: a.waited,
@@ -161,8 +165,7 @@
 	return r
 }
 
-// longestWait is the longest predicted wait with which a job is accepted as one that
-// will be in time.
+// longestWait returns the longest predicted wait with which a job is accepted as in time.
 func (s *Shard) longestWait(objective, chain time.Duration, priority int) time.Duration {
 	p := &s.fleet.params
 	share := time.Duration(p.AimShare * float64(objective))
--- a/coordination/owner/backlog.go
+++ b/coordination/owner/backlog.go
@@ -9,31 +9,31 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// backlog has the tasks that wait at their owner for room at a worker: first those
-// of jobs that can be in time, then those of late ones, each by when they must
-// start. Guarded by Shard.mu.
+// backlog holds the tasks that wait at their owner for free capacity at a worker. Tasks of jobs
+// that can be in time come first, then those of late jobs, each ordered by when they must start.
+// Guarded by Shard.mu.
 type backlog struct {
 	tasks []waitingTask
-	// places counts the tasks of each place.
+	// places has the number of waiting tasks by placement key.
 	places map[placeKey]int
-	// room is the rate at which late tasks have left lately, in cores. It is what
-	// is left of the workers by those that can be in time.
+	// room is the recent rate at which late tasks were placed, in cores: the capacity that jobs in
+	// time leave over.
 	room float64
-	// prior is what room is taken to be while no late task waits.
+	// prior is the least that room is assumed to be while no late task waits.
 	prior   float64
 	updated time.Duration
-	// left is the work of late tasks that left since then.
+	// left is the work of the late tasks that were placed since updated.
 	left time.Duration
 }
 
-// waitingTask is a task without a worker.
+// waitingTask is a task that is not placed at a worker yet.
 type waitingTask struct {
 	id     job.TaskID
 	where  placeKey
 	yields bool
-	// latest is when it must start to be in time, or of any use if it yields.
+	// latest is when the task must start to be in time, or, if it is late, to be of any use.
 	latest time.Duration
-	// work is its expected time of one core.
+	// work is the expected run time times the cores that it takes.
 	work time.Duration
 }
 
@@ -54,25 +54,25 @@
 		return -1
 	}
 	if a.latest <= b.latest {
-		// Equal ones keep the order in which they came.
+		// Equal tasks stay in order of arrival.
 		return -1
 	}
 	return 1
 }
 
-// fate is what becomes of a waiting task that was looked at.
+// fate is what backlog.filter does with a task.
 type fate uint8
 
 const (
-	// stay keeps it waiting.
+	// stay keeps the task waiting.
 	stay fate = iota
-	// leave takes it out.
+	// leave removes the task from the backlog.
 	leave
-	// stop keeps it and all that come after it.
+	// stop keeps the task and all tasks behind it.
 	stop
 )
 
-// filter looks at the tasks in order until it is told to stop.
+// filter calls look for each task in order until it returns stop.
 func (b *backlog) filter(look func(*waitingTask) fate) {
 	kept, at := 0, 0
 	for ; at < len(b.tasks); at++ {
@@ -99,10 +99,11 @@
 	}
 }
 
-// placeKey is what decides where a task may go.
+// placeKey has the properties that decide to which agents a task may go.
 type placeKey struct {
 	service, label, rack, domains string
-	// suspect tasks go where no others are, and hold up none that may go anywhere.
+	// suspect tasks go to agents without other suspects. They have keys of their own, so that they
+	// don't hold up tasks that may go anywhere.
 	suspect bool
 }
 
@@ -110,7 +111,8 @@
 	return placeKey{service: p.Service, label: st.Label, rack: st.Rack, domains: strings.Join(st.Domains, " ")}
 }
 
-// ahead is the work that goes before a task that must start by a time.
+// ahead returns the waiting work with the same key that is placed before a task that must start by
+// latest.
 func (b *backlog) ahead(where placeKey, yields bool, latest time.Duration) time.Duration {
 	var work time.Duration
 	for i := range b.tasks {
@@ -131,7 +133,7 @@
 	return n > 0 && b.tasks[n-1].yields
 }
 
-// expect sets what the room for late tasks is taken to be while none waits.
+// expect sets the rate for late tasks that is assumed while none waits, in cores.
 func (b *backlog) expect(prior float64) {
 	if b.prior == 0 {
 		b.room = prior
@@ -139,7 +141,8 @@
 	b.prior = prior
 }
 
-// measure brings the room for late tasks up to date.
+// measure updates the rate at which late tasks are placed, as a moving average with the given time
+// constant.
 func (b *backlog) measure(now time.Duration, memory time.Duration) {
 	passed := now - b.updated
 	if passed <= 0 {
@@ -154,7 +157,7 @@
 	b.updated, b.left = now, 0
 }
 
-// yieldWork is the work of the late tasks that wait.
+// yieldWork returns the work of all late tasks that wait.
 func (b *backlog) yieldWork() time.Duration {
 	var work time.Duration
 	for i := len(b.tasks) - 1; i >= 0 && b.tasks[i].yields; i-- {
@@ -163,10 +166,10 @@
 	return work
 }
 
-// yieldWait is how long late work takes to leave.
+// yieldWait returns how long it takes to place an amount of late work.
 func (b *backlog) yieldWait(work time.Duration) time.Duration {
 	return time.Duration(float64(work) / max(b.room, leastRoom))
 }
 
-// leastRoom is the least room, in cores, that is reckoned with for late tasks.
+// leastRoom is the least rate, in cores, that yieldWait assumes.
 const leastRoom = 0.1
--- a/coordination/owner/crash.go
+++ b/coordination/owner/crash.go
@@ -8,48 +8,50 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// A backend server that is lost has as many suspects as runs were on it, and mostly none of
-// them is to blame. Given up by the count of such losses alone, jobs would fail that had only
-// run beside a task that crashes its server. So a task under which a server was lost runs
-// next apart from other suspects, and under which two were, alone. What ends is acquitted,
-// and so are the neighbours of a task that is found out.
+// When a backend server is lost, each run on it is a suspect, and mostly none of them is the cause.
+// If a job were failed by the mere number of such losses, jobs would fail that had only run beside
+// a task that crashes its server. So after one loss a task next runs apart from other suspects, and
+// after two it runs alone. A run that ends clears its task of suspicion, and once a task is
+// identified as the cause of a crash, the tasks that ran beside it are cleared of that crash.
 //
-// A task is given up where it was the only run on the second server that was lost, or where
-// three were lost under it. A loss counts once another instance has come up beside an agent
-// that ran on: a server without power, one that is cut off, drains or leaves says nothing of
-// its tasks. Judged wrongly as a crash it can fail a job that could be done, which is worse
-// than the further server that a crash which was not counted costs.
+// A task is given up if it was the only run on the second server that was lost, or if three servers
+// were lost under it. A loss counts once another instance has come up beside an agent that kept
+// running: a server that lost power, was cut off, drains or leaves is no evidence against its
+// tasks. A loss wrongly taken for a crash can fail a job that could have completed, which is worse
+// than the one more server that an uncounted crash costs.
 
-// FailureCrashed is why a job failed one of whose tasks crashes its backend servers.
+// FailureCrashed is the failure of a job one of whose tasks crashes its backend servers.
 const FailureCrashed = "a task took the backend servers down on which it was started"
 
 const (
-	// aloneSuspect is the number of the lost server for which a task is given up if nothing
-	// ran beside it there.
+	// aloneSuspect is the number of lost servers at which a task is given up if it was the only run
+	// on the last of them.
 	aloneSuspect = 2
-	// recordedFrom is the number of lost servers from which on a task waits for its record.
+	// recordedFrom is the number of lost servers from which on a task is started again only after
+	// its crashes are recorded.
 	recordedFrom = 2
-	// newsOfCrash is how long a task that has to be judged waits for what becomes of its
-	// last server, which is back after some seconds if it has crashed. A job of which
-	// nothing runs for longer would seem forgotten.
+	// newsOfCrash is how long a task waits for the confirmation that its last server crashed,
+	// before it is started again or given up. A crashed server is back after some seconds. A job of
+	// which nothing runs for longer would look stuck.
 	newsOfCrash = 2500 * time.Millisecond
-	// forgetCrash is how long a task beyond the last start that it may have waits for it.
+	// forgetCrash is the same for a task that has used up all its starts. After that, its
+	// unconfirmed crashes no longer count.
 	forgetCrash = 10 * time.Second
-	// togetherWithin and togetherOthers tell losses of a common cause: a rack or switch
-	// takes servers down within the time in which their leases run out.
+	// togetherWithin and togetherOthers identify losses with a common cause: a failed rack or
+	// switch takes its servers down within the time in which their leases run out.
 	togetherWithin = 100 * time.Millisecond
 	togetherOthers = 2
 	// mostLosses bounds the losses that are remembered for that.
 	mostLosses = 64
 )
 
-// loss is a backend server that was lost with runs of this shard.
+// loss is the loss of a backend server that had runs of this shard.
 type loss struct {
 	node, instance string
 	at             time.Duration
 }
 
-// lostWithServerLocked takes in that a run was lost with its backend server.
+// lostWithServerLocked handles the end of a run that was lost with its backend server.
 func (s *Shard) lostWithServerLocked(now time.Duration, fx *Effects, j *jobState, t *task, rec *job.TaskRecord, node string, r worker.RunState) {
 	t.phase = idle
 	if j.rec.State.Final() {
@@ -60,9 +62,8 @@
 	s.orderLocked(now, fx, j, r.Run.Task, t)
 }
 
-// lostBeforeLocked takes in the runs that an agent tells to have been lost with its server,
-// with the answer to a claim: the news may have been lost with the last link, or with the
-// owner before.
+// lostBeforeLocked handles the lost runs that an agent lists in its answer to a claim. An earlier
+// report of them may have been lost with the previous link or the previous owner.
 func (s *Shard) lostBeforeLocked(now time.Duration, fx *Effects, node string, lost []worker.RunState) {
 	for _, r := range lost {
 		j := s.jobs[r.Run.Task.Job]
@@ -77,7 +78,7 @@
 	}
 }
 
-// suspectLocked notes a server that was lost under a task, unless that is known.
+// suspectLocked records that a server was lost under a task, unless that is recorded already.
 func (s *Shard) suspectLocked(now time.Duration, fx *Effects, j *jobState, t *task, rec *job.TaskRecord, node string, r worker.RunState) {
 	if slices.ContainsFunc(rec.Crashes, func(c job.Crash) bool { return c.Run == r.Run.Number && c.Node == node }) {
 		s.newsOfLossLocked(now, fx, node, r)
@@ -94,13 +95,13 @@
 	fx.log(Decision{What: "crash_suspected", Job: j.rec.ID, Run: r.Run, Node: c.Node, Reason: c.Instance, Count: r.Suspects})
 	by := now + s.bounds.LazyWrite
 	if len(rec.Crashes) >= recordedFrom {
-		// The next start is one of the last: an owner that takes over has to know.
+		// The task has few starts left, and an owner that takes over has to know that.
 		by = now
 	}
 	s.writeLocked(fx, j, by)
 }
 
-// newsOfLossLocked takes in what became of a server that was lost under a run.
+// newsOfLossLocked handles a later report on a lost server: that it crashed, or that it did not.
 func (s *Shard) newsOfLossLocked(now time.Duration, fx *Effects, node string, r worker.RunState) {
 	j := s.jobs[r.Run.Task.Job]
 	if j == nil || j.rec.State.Final() || j.drop {
@@ -131,7 +132,7 @@
 	}
 }
 
-// noteLossLocked remembers a loss, once for each server.
+// noteLossLocked remembers the loss of a server, once for each instance.
 func (s *Shard) noteLossLocked(now time.Duration, node, instance string) {
 	if slices.ContainsFunc(s.losses, func(l loss) bool { return l.node == node && l.instance == instance }) {
 		return
@@ -142,7 +143,8 @@
 	s.losses = append(s.losses, loss{node: node, instance: instance, at: now})
 }
 
-// togetherLocked reports whether others were lost at the same moment as a server.
+// togetherLocked reports whether at least togetherOthers other servers were lost at about the same
+// time as a server.
 func (s *Shard) togetherLocked(c *job.Crash) bool {
 	i := slices.IndexFunc(s.losses, func(l loss) bool { return l.node == c.Node && l.instance == c.Instance })
 	if i < 0 {
@@ -157,7 +159,7 @@
 	return others >= togetherOthers
 }
 
-// caution is how a task is kept apart from others.
+// caution returns how far a task must be kept apart from other runs.
 func (s *Shard) caution(rec *job.TaskRecord) worker.Caution {
 	switch n := len(rec.Crashes); {
 	case n == 0:
@@ -170,8 +172,8 @@
 	return worker.NoCaution
 }
 
-// avoided names the agents that a task goes to only when no other is there: where it has
-// failed last, and where servers were lost under it.
+// avoided returns the agents that a task goes to only when no other is eligible: the one on which
+// it failed last, and those whose servers were lost under it.
 func avoided(t *task, rec *job.TaskRecord) []string {
 	var out []string
 	if t.failed != "" {
--- a/coordination/owner/dispatch.go
+++ b/coordination/owner/dispatch.go
@@ -7,11 +7,11 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// runsPerEpoch spaces the run numbers of successive epochs. An owner that died
-// takes its numbers with it; a task is not started this often in one epoch.
+// runsPerEpoch is the distance between the first run numbers of successive epochs. The numbers that
+// an earlier owner has used may be lost with it; no task is started this often in one epoch.
 const runsPerEpoch = 1 << 10
 
-// dispatchLocked orders all tasks of a job whose turn has come.
+// dispatchLocked places all idle tasks of a job whose steps are ready.
 func (s *Shard) dispatchLocked(now time.Duration, fx *Effects, j *jobState) {
 	if j.rec.State.Final() || !j.durable {
 		return
@@ -59,25 +59,25 @@
 	}
 }
 
-// mayOrderLocked reports whether orders may go to an agent: it has answered the
-// claim, and the store names it among the agents that may have runs of this
-// shard. The next owner waits for all that are named before it starts a task
-// again, so one that is not named would start it twice.
+// mayOrderLocked reports whether orders may go to an agent: it has answered the claim, and the
+// store lists it among the agents that may have runs of this shard. The next owner waits for all
+// listed agents before it starts a task again; a run on an agent that is not listed would be
+// started twice.
 func (s *Shard) mayOrderLocked(node string) bool {
 	l := s.links[node]
 	return l != nil && !l.lost && l.claimed && (s.named[node] || s.private)
 }
 
-// Confirm says whether the group has confirmed this owner so recently that
-// nobody else can be it.
+// Confirm sets whether the group has confirmed this owner so recently that no other process can own
+// the shard.
 func (s *Shard) Confirm(yes bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unconfirmed = !yes
 }
 
-// Tick lets time pass: tasks without an agent are tried again, links that stay
-// lost are waited out, records of ended jobs expire.
+// Tick does the work that depends on time: it retries tasks without an agent, gives up links that
+// were lost for too long, and expires the records of ended jobs.
 func (s *Shard) Tick(now time.Duration) Effects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,11 +111,11 @@
 	return &j.tasks[at]
 }
 
-// lazyDrop is how long the removal of an old record may wait for a write that
-// takes it along: it only frees room.
+// lazyDrop is how long the removal of an expired record may wait for another write to go with.
+// Removals only free space.
 const lazyDrop = 10 * time.Second
 
-// expireJobsLocked drops jobs that ended longer ago than anyone may ask.
+// expireJobsLocked removes jobs whose retention is over.
 func (s *Shard) expireJobsLocked(now time.Duration) {
 	for len(s.fading) > 0 && s.fading[0].at <= now {
 		id := s.fading[0].id
--- a/coordination/owner/events.go
+++ b/coordination/owner/events.go
@@ -9,7 +9,7 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// Event takes in news of a run from an agent.
+// Event handles a run event from an agent.
 func (s *Shard) Event(now time.Duration, node string, e worker.Event) Effects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +53,7 @@
 	}
 }
 
-// endLocked takes in the end of a run.
+// endLocked handles the end of a run.
 func (s *Shard) endLocked(now time.Duration, fx *Effects, node string, r worker.RunState) {
 	j := s.jobs[r.Run.Task.Job]
 	var t *task
@@ -69,7 +69,8 @@
 		return
 	}
 	if t.phase == stopping && j.rec.Policy.Once && s.openEndLocked(j, r.Run) != nil {
-		// The record of the job's end is all that keeps it from being repeated.
+		// Only the record of the job's end prevents this task from being repeated, so the run's end
+		// is settled after that record is written.
 		t.phase = over
 		t.settleLater(node, Settlement{Run: r.Run})
 		return
@@ -129,9 +130,8 @@
 	s.orderLocked(now, fx, j, id, t)
 }
 
-// doneLocked notes that a task is complete. The end is settled once it is
-// recorded: an acknowledged end that nobody has written down would make the
-// next owner run the task again.
+// doneLocked marks a task as done. The run's end is settled once that is recorded: if it were
+// acknowledged without a record, the next owner would run the task again.
 func (s *Shard) doneLocked(now time.Duration, fx *Effects, j *jobState, t *task, rec *job.TaskRecord, node string, run job.RunID) {
 	t.phase = over
 	rec.Done = true
@@ -151,7 +151,7 @@
 	}
 }
 
-// failedLocked counts a failed run, and ends the job after the last attempt.
+// failedLocked counts a failed run, and fails the job after the last attempt.
 func (s *Shard) failedLocked(now time.Duration, fx *Effects, j *jobState, t *task, rec *job.TaskRecord, node string, run job.RunID) {
 	rec.Failures++
 	t.failed = node
@@ -172,7 +172,7 @@
 	s.orderLocked(now, fx, j, run.Task, t)
 }
 
-// FailureLost is why a job failed whose run was cut off and may not be repeated.
+// FailureLost is the failure of a job whose run was cut off and may not be repeated.
 const FailureLost = "a task was cut off with its backend server and may have run"
 
 func failureOf(id job.TaskID, rec *job.TaskRecord) string {
@@ -184,8 +184,8 @@
 	s.finishLocked(now, fx, j, job.Failed)
 }
 
-// finishLocked ends a job: its runs are stopped, its record is written, and
-// whoever asks is told once it is.
+// finishLocked ends a job: it stops the job's runs and schedules the write of its record. Waiting
+// clients get their replies once the record is written.
 func (s *Shard) finishLocked(now time.Duration, fx *Effects, j *jobState, state job.State) {
 	j.rec.State = state
 	j.rec.Elapsed = now - j.accepted
@@ -215,7 +215,7 @@
 	s.writeLocked(fx, j, now)
 }
 
-// shownLocked makes a final state visible, and settles the ends behind it.
+// shownLocked makes a job's final state visible to clients and settles the ends of its runs.
 func (s *Shard) shownLocked(now time.Duration, fx *Effects, j *jobState) {
 	j.shown = j.rec.State
 	s.settleAllLocked(fx, j)
@@ -233,7 +233,7 @@
 	fx.log(Decision{What: "ended", Job: j.rec.ID, Reason: j.shown.String(), Age: now - j.accepted, Wait: j.due - now})
 }
 
-// settleLater has an end settled once its record is written.
+// settleLater schedules a settlement to be sent once the task's record is written.
 func (t *task) settleLater(node string, what Settlement) {
 	t.awaits = what.Run.Number
 	t.unsettled = append(t.unsettled, Placed[Settlement]{Node: node, What: what})
--- a/coordination/owner/fleet.go
+++ b/coordination/owner/fleet.go
@@ -11,37 +11,37 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// AgentLoad is what an agent says of the backend server beside it.
+// AgentLoad is the load that an agent reports of the backend server beside it.
 type AgentLoad struct {
 	Service  string
 	Instance string
 	Labels   []string
-	// Domain is the failure domain of its host.
+	// Domain is the failure domain of the agent's host.
 	Domain   string
 	Capacity job.Demand
 	Free     job.Demand
-	// Backlog is the waiting work in time of one core, and Ahead the part of
-	// it that has to start within each of worker.Bands.
+	// Backlog is the waiting work in core time, and Ahead the part of it that has to start within
+	// each of worker.Bands.
 	Backlog time.Duration
 	Ahead   [len(worker.Bands)]time.Duration
-	// Slowdown is how much longer runs take there than expected.
+	// Slowdown is the ratio of measured to expected run times.
 	Slowdown float64
 	// Turnover is the mean time until the next running task ends.
 	Turnover time.Duration
 	Accepts  bool
-	// Drained is set where the failure domain is drained, so that nothing is newly started.
+	// Drained is set while the failure domain is drained and nothing new is started in it.
 	Drained bool
-	// Placers is the number of processes that place work there, and Orders counts what has
-	// come from all of them in this life of the agent.
+	// Placers is the number of processes that place work there, and Orders the number of orders
+	// from all of them since the agent started.
 	Placers int
 	Orders  int64
-	// Seen counts the orders that the agent had received on this link.
+	// Seen is the number of orders that the agent had received on this link.
 	Seen int64
-	// Suspects counts the runs and orders there that may crash the backend server.
+	// Suspects is the number of runs and orders there that may crash the backend server.
 	Suspects int
 }
 
-// before is the waiting work that goes before a task with some slack left.
+// before returns the waiting work that is started before a task with the given slack.
 func (l *AgentLoad) before(slack time.Duration) time.Duration {
 	if slack <= 0 {
 		return l.Backlog
@@ -54,62 +54,62 @@
 	return l.Backlog
 }
 
-// Need is what a task asks of an agent.
+// Need has what a task requires of an agent.
 type Need struct {
 	Service string
 	Label   string
 	Rack    string
-	// Domains are the failure domains to choose from; none means any.
+	// Domains are the failure domains that the task may run in; empty means any.
 	Domains  []string
 	Demand   job.Demand
 	Estimate time.Duration
 	// Slack is how long the task may wait and still be in time.
 	Slack time.Duration
-	// Yields is set for a task whose job can't be in time: it goes only where there
-	// is room now.
+	// Yields is set for a task whose job can't be in time. It is placed only where there is free
+	// capacity now.
 	Yields bool
 	// Now is the time of the placement.
 	Now time.Duration
-	// Avoid are agents on which the task failed, or whose servers were lost under it; they
-	// are taken only when no other is there.
+	// Avoid has the agents on which the task failed or whose servers were lost under it. They are
+	// chosen only when no other is eligible.
 	Avoid []string
-	// Caution is set for a task that may crash its backend server: it goes where few
-	// others run, and no other suspect.
+	// Caution is set for a task that may crash its backend server. It is placed where few other
+	// runs and no other suspects are.
 	Caution worker.Caution
 }
 
-// Fleet is an owner's view of the agents it has a link to. It is shared by the
-// shards of a process and safe for concurrent use.
+// Fleet holds the state of the agents that this process has links to. It is shared by the shards of
+// a process and safe for concurrent use.
 type Fleet struct {
-	// remoteFactor is how much longer a task takes away from its data's rack.
+	// remoteFactor is the factor by which a task runs longer away from the rack that holds its
+	// data.
 	remoteFactor float64
 	params       Params
 
 	mu     sync.Mutex
 	agents map[string]*agentView // guarded by mu
-	// retired are the agents that get no new work, linked or not. Guarded by mu.
+	// retired has the agents that get no new work, whether linked or not. Guarded by mu.
 	retired map[string]bool
-	// drained are the failure domains in which nothing is newly started. Guarded by mu.
+	// drained has the failure domains in which nothing new is started. Guarded by mu.
 	drained drains.State
-	// ratios has, for each queue, the mean of the measured run time over the
-	// client's estimate. Guarded by mu.
+	// ratios has, for each queue, the moving average of the measured run time over the client's
+	// estimate. Guarded by mu.
 	ratios map[string]float64
-	// crowd tells how much the others order. Guarded by mu.
+	// crowd estimates how many orders other processes send. Guarded by mu.
 	crowd crowd
-	// looks counts the agents that were looked at for a place. Guarded by mu.
+	// looks is the number of agents that were examined to place tasks. Guarded by mu.
 	looks int64
 }
 
-// agentView is the last load of an agent and what was sent to it since.
-// Guarded by Fleet.mu.
+// agentView is the last load of an agent and the orders sent to it since. Guarded by Fleet.mu.
 type agentView struct {
 	load    AgentLoad
 	heard   time.Duration
 	sent    int64
 	pending []pendingOrder
-	// retired agents get nothing new.
+	// retired agents get no new work.
 	retired bool
-	// drained is set while the agent's failure domain is, by what this process knows.
+	// drained is set while the agent's failure domain is drained, by what this process knows.
 	drained bool
 }
 
@@ -118,24 +118,24 @@
 	v.pending = append(v.pending, pendingOrder{number: v.sent, at: n.Now, demand: n.Demand, work: coreTime(n), suspect: n.Caution != worker.NoCaution})
 }
 
-// unbook takes the last booking back.
+// unbook undoes the last book.
 func (v *agentView) unbook() {
 	v.pending = v.pending[:len(v.pending)-1]
 	v.sent--
 }
 
-// pendingOrder is an order that the agent's last news does not cover yet.
+// pendingOrder is an order that the agent's last load does not include yet.
 type pendingOrder struct {
 	number int64
-	// at is when it was placed.
+	// at is when the order was placed.
 	at     time.Duration
 	demand job.Demand
 	work   time.Duration
-	// suspect is set where the task may crash its backend server.
+	// suspect is set for a task that may crash its backend server.
 	suspect bool
 }
 
-// NewFleet returns an empty fleet.
+// NewFleet returns a Fleet without agents.
 func NewFleet(remoteFactor float64, p Params) *Fleet {
 	return &Fleet{
 		remoteFactor: max(1, remoteFactor),
@@ -146,29 +146,29 @@
 	}
 }
 
-// Looks counts the agents that were looked at to place tasks: what placing costs.
+// Looks returns how many agents were examined to place tasks, as a measure of what placement costs.
 func (f *Fleet) Looks() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.looks
 }
 
-// Linked notes a new link to an agent, on which no order was sent yet.
+// Linked adds an agent with a new link on which no order was sent yet.
 func (f *Fleet) Linked(node string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.agents[node] = &agentView{retired: f.retired[node]}
 }
 
-// Lost forgets an agent whose link is gone.
+// Lost removes an agent whose link is gone.
 func (f *Fleet) Lost(node string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.agents, node)
 }
 
-// Retire says whether an agent gets no new work: its link is about to end, or serves
-// something else. That holds for later links to it too.
+// Retire sets whether an agent gets no new work, because its link is about to end or its server
+// serves another service. It also holds for later links to the agent.
 func (f *Fleet) Retire(node string, yes bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -181,8 +181,8 @@
 	}
 }
 
-// Drain takes in which failure domains are drained. Nothing more is placed there, before
-// the agents of those domains have said so themselves.
+// Drain sets which failure domains are drained. Nothing new is placed there, even before the agents
+// of those domains report it themselves.
 func (f *Fleet) Drain(s drains.State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,7 +192,7 @@
 	}
 }
 
-// FreeShare is the part of some agents' cores that is free, by their last news.
+// FreeShare returns the free share of the cores of some agents, by their last loads.
 func (f *Fleet) FreeShare(nodes []string) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -206,7 +206,8 @@
 	return float64(free) / float64(max(all, 1))
 }
 
-// Offers reports whether an agent of a service with a label is there that has as much.
+// Offers reports whether a linked agent of the service, with the label if one is given, has the
+// capacity for a demand.
 func (f *Fleet) Offers(service, label string, demand job.Demand) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -218,7 +219,7 @@
 	return false
 }
 
-// Update takes in an agent's load.
+// Update stores a load that an agent has reported.
 func (f *Fleet) Update(now time.Duration, node string, l AgentLoad) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -236,15 +237,15 @@
 	}
 }
 
-// AgentView is the last news of an agent.
+// AgentView is the last load of an agent.
 type AgentView struct {
 	Node string
 	Load AgentLoad
-	// Heard is when it came, on the boot clock.
+	// Heard is when the load arrived, on the boot clock.
 	Heard time.Duration
 }
 
-// Agents returns the last news of each agent that has sent any, by name.
+// Agents returns the last load of each agent that has reported one, sorted by name.
 func (f *Fleet) Agents() []AgentView {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -258,8 +259,8 @@
 	return out
 }
 
-// Sent notes an order that was not placed here: one that repeats an earlier
-// one for an agent that is new.
+// Sent counts an order that Place has not chosen an agent for: the repeat of an earlier order,
+// which a new agent needs to know.
 func (f *Fleet) Sent(node string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/coordination/owner/found.go
+++ b/coordination/owner/found.go
@@ -7,8 +7,8 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// missingLocked returns the runs that were ordered at an agent and that it doesn't
-// have. An older run of the same task doesn't stand for the one that was ordered.
+// missingLocked returns the runs that were ordered at an agent and are not among those it has
+// reported. An older run of the same task does not count as the one that was ordered.
 func (s *Shard) missingLocked(node string, has []worker.RunState) map[job.RunID]bool {
 	there := make(map[job.RunID]bool, len(has))
 	for _, r := range has {
@@ -29,7 +29,7 @@
 	return lost
 }
 
-// foundLocked takes in one run that an agent has.
+// foundLocked handles one run that an agent has reported in its answer to a claim.
 func (s *Shard) foundLocked(now time.Duration, fx *Effects, node string, r worker.RunState) {
 	j := s.jobs[r.Run.Task.Job]
 	var t *task
@@ -61,7 +61,7 @@
 	current := t.number == r.Run.Number && t.node == node
 	if !adopt && !current {
 		if t.number < r.Run.Number && r.Status != worker.Ended {
-			// Two agents have runs of earlier owners: the newer one goes on.
+			// Two agents have runs of this task from earlier owners: the newer run continues.
 			s.stopRunLocked(fx, t.node, job.RunID{Task: r.Run.Task, Number: t.number})
 			adopt = true
 		} else {
@@ -80,7 +80,8 @@
 	case worker.Running:
 		s.startedLocked(j, t)
 	}
-	// The agent may be new and not know what the run takes of its worker.
+	// The agent may have restarted and not know the resources that the run takes, so the order is
+	// repeated.
 	st := &j.rec.Spec.Steps[r.Run.Task.Step]
 	estimate := s.fleet.Expect(j.rec.Policy.Queue, st.Estimate)
 	s.fleet.Sent(node)
@@ -89,17 +90,18 @@
 	fx.Orders = append(fx.Orders, Placed[worker.Order]{Node: node, What: order})
 }
 
-// mustHoldLocked reports whether a run is the end of an earlier owner's that has to
-// be kept until every agent that may have a newer run of the task has answered. The earlier owner may have started
-// the task again after this end; taken at once, it would be started a third time
-// beside that run, or count although that run has replaced it. A task that may not
-// be repeated has no newer run.
+// mustHoldLocked reports whether a run is the end of an earlier owner's run that must not be
+// handled before every agent that may have a newer run of the task has answered. The earlier owner
+// may have started the task again after this end. If the end were handled at once, the task would
+// be started a third time beside that newer run, or the end would count although the newer run has
+// superseded it. A task that may not be repeated has no newer run.
 func (s *Shard) mustHoldLocked(j *jobState, t *task, r worker.RunState) bool {
 	return t.phase == inDoubt && r.Status == worker.Ended && len(s.waitFor) > 0 && !j.rec.Policy.Once
 }
 
-// dropHeldLocked gives up an end that was held: a newer run was found. The same
-// run may be found again, after its link was made anew.
+// dropHeldLocked discards a deferred end because another run of the task was found, and settles it
+// as superseded. If the found run is the same one, which an agent reports again after its link was
+// replaced, nothing is settled.
 func (s *Shard) dropHeldLocked(fx *Effects, t *task, found job.RunID) {
 	if t.held != nil && t.held.What.Run != found {
 		fx.void(t.held.Node, t.held.What)
@@ -107,8 +109,8 @@
 	t.held = nil
 }
 
-// void settles an end that a later run has replaced. Only what is done or failed
-// must never be acknowledged; other ends say nothing.
+// void settles an end that a later run has superseded. Only the ends of done and failed runs are
+// void, which means that they must never be acknowledged; other ends carry no result.
 func (fx *Effects) void(node string, r worker.RunState) {
 	fx.settle(node, Settlement{Run: r.Run, Void: r.End == job.Done || r.End == job.FailedRun})
 }
@@ -120,11 +122,11 @@
 	}
 }
 
-// surplusLocked ends a run that doesn't count any more.
+// surplusLocked settles or stops a run that no longer counts.
 func (s *Shard) surplusLocked(fx *Effects, node string, r worker.RunState, j *jobState) {
 	if j == nil && (s.private || r.Status != worker.Ended) {
-		// It may be a best-effort job of another owner, which knows it. If it
-		// is nobody's, the agent stops it.
+		// It may be a best-effort job of another owner, which knows it. If it has no owner, the
+		// agent stops it.
 		return
 	}
 	if r.Status == worker.Ended {
@@ -141,10 +143,9 @@
 	s.stopRunLocked(fx, node, r.Run)
 }
 
-// openEndLocked returns the task of a run whose end, or whose job's, is not
-// recorded yet. It is settled with that record: an owner that takes over before
-// would know nothing of it, and start the task again after its end was
-// acknowledged.
+// openEndLocked returns the task of a run whose end, or whose job's end, is not recorded yet, and
+// nil otherwise. Such an end is settled after the record is written: an owner that takes over
+// before that would not know of it, and would start the task again after its end was acknowledged.
 func (s *Shard) openEndLocked(j *jobState, run job.RunID) *task {
 	if j == nil || j.rec.Spec.BestEffort {
 		return nil
@@ -156,8 +157,8 @@
 	return nil
 }
 
-// voidLocked reports whether an end must never be acknowledged: the task was
-// started again after it, or it would count toward a task that is settled.
+// voidLocked reports whether an end must never be acknowledged because the task was started again
+// after it.
 func (s *Shard) voidLocked(j *jobState, r worker.RunState) bool {
 	if j == nil || j.drop || r.End != job.Done && r.End != job.FailedRun {
 		return false
--- a/coordination/owner/learning.go
+++ b/coordination/owner/learning.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Learn takes in how long a task was at work against the client's estimate.
+// Learn updates a queue's ratio of measured run times to the client's estimates.
 func (f *Fleet) Learn(queue string, estimate, work time.Duration) {
 	if estimate <= 0 || work <= 0 {
 		return
@@ -17,12 +17,11 @@
 	f.ratios[queue] = old + f.params.LearnWeight*(ratio-old)
 }
 
-// defaultEstimate stands for a run time that the client has left out. Most tasks
-// take between 50 ms and a second. Without it such a job would have no time to
-// wait at all and always be refused.
+// defaultEstimate is used for a task without an estimate. Most tasks take between 50 ms and a
+// second. Without a default such a job would have no slack at all and always be refused.
 const defaultEstimate = 200 * time.Millisecond
 
-// Expect corrects a client's estimate by what the queue's tasks took so far.
+// Expect corrects a client's estimate by the queue's measured run times.
 func (f *Fleet) Expect(queue string, estimate time.Duration) time.Duration {
 	if estimate <= 0 {
 		estimate = defaultEstimate
--- a/coordination/owner/link.go
+++ b/coordination/owner/link.go
@@ -9,12 +9,12 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// Linked notes a link to an agent and returns the claim to send first, if there is one to
-// send. The session rises with each link that this process makes.
+// Linked adds a link to an agent and returns the claim to send on it first, and whether there is
+// one to send. The session number rises with each link that this process makes.
 //
-// A link is claimed once. The answer to a second claim may be from before an order that
-// went out after the first: the run would be taken for lost and started elsewhere, beside
-// itself. An older session is of a caller that has not heard of the newest link yet.
+// Each link is claimed only once. The answer to a second claim could predate an order that was sent
+// after the first claim: that run would be taken for lost and started again elsewhere while it
+// runs. An older session comes from a caller that does not know of the newest link yet.
 func (s *Shard) Linked(now time.Duration, node string, session int64) (worker.Claim, bool, Effects) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,12 +30,13 @@
 	return worker.Claim{Shard: s.ID, Epoch: s.Epoch, Session: session}, true, fx
 }
 
-// claimPatience is how long the answer to a claim may take: an agent may have to write down
-// first that recorded jobs run there, which takes a slow store a second.
+// claimPatience is how long an agent may take to answer a claim. It may first have to record that
+// recorded jobs run there, which takes a second with a slow store.
 const claimPatience = 3 * time.Second
 
-// renewUnansweredLocked has links made anew on which a claim got no answer. It may have been
-// lost between the link and its first frame, and nothing else would ever be placed there.
+// renewUnansweredLocked requests new links in place of those on which a claim was not answered. The
+// claim may have been lost between the link and its first frame, and without an answer nothing
+// would ever be placed on that agent.
 func (s *Shard) renewUnansweredLocked(now time.Duration, fx *Effects) {
 	for node, l := range s.links {
 		if l.claimed || l.lost || now-l.since < claimPatience {
@@ -47,8 +48,8 @@
 	}
 }
 
-// LinkLost notes that a link is gone. Runs behind it may go on; they are waited
-// out, or found when the agent is back.
+// Lost handles the loss of a link. Runs behind it may continue; they are found when the agent is
+// linked again, or given up after Bounds.WaitOut.
 func (s *Shard) LinkLost(now time.Duration, node string, session int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,8 +60,8 @@
 	l.lost, l.lostAt = true, now
 }
 
-// Claimed takes in an agent's answer to the claim: all runs of the shard that
-// it knows. What was ordered there and is not among them does not run.
+// Claimed handles an agent's answer to a claim, which lists all runs of the shard that the agent
+// knows. A run that was ordered there and is not listed does not run.
 func (s *Shard) Claimed(now time.Duration, node string, c worker.Claimed) Effects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,14 +78,14 @@
 	delete(s.waitFor, node)
 	s.lostBeforeLocked(now, &fx, node, c.Lost)
 	lost := s.missingLocked(node, c.Runs)
-	// Of several runs of a task the newest counts: an older one that failed would
-	// otherwise be repeated beside it.
+	// Of several runs of a task the newest counts, so it is handled first: an older run that failed
+	// would otherwise be repeated beside it.
 	slices.SortStableFunc(c.Runs, func(a, b worker.RunState) int { return cmp.Compare(b.Run.Number, a.Run.Number) })
 	for _, r := range c.Runs {
 		s.foundLocked(now, &fx, node, r)
 	}
-	// What was ordered just now, in place of a run that was found ended, is on
-	// its way and not lost.
+	// Only runs that were missing before the loop above are lost. It may have placed new orders at
+	// this agent, which are on their way.
 	s.reclaimLocked(now, &fx, func(id job.TaskID, t *task) bool {
 		return t.node == node && lost[job.RunID{Task: id, Number: t.number}]
 	})
@@ -93,11 +94,11 @@
 	return fx
 }
 
-// refusedLocked takes in that an agent refuses a claim. A newer epoch there is that of
-// the shard's next owner. Otherwise the agent knows of a newer link of this one: taken for
-// a takeover, that ended the shard of an entry's best-effort jobs, which nobody deals anew,
-// and the entry refused every job for the rest of its life while it was ready. The next
-// link has a higher session, and its claim is answered with what runs there.
+// refusedLocked handles the refusal of a claim. If the agent knows a newer epoch, the shard has
+// another owner. Otherwise the agent knows a newer link of this owner, and the claim on the next
+// link, which has a higher session, will be answered. That case must not close the shard: the
+// best-effort shard of an entry, which is never assigned again, was closed this way, and the entry
+// refused every job until it restarted although it reported ready.
 func (s *Shard) refusedLocked(fx *Effects, node string, knownEpoch int64) {
 	if knownEpoch > s.Epoch {
 		fx.log(Decision{What: "claim_refused", Node: node, Reason: "newer_owner"})
@@ -112,7 +113,8 @@
 	fx.Stops = append(fx.Stops, Placed[job.RunID]{Node: node, What: run})
 }
 
-// closeLocked gives the shard up: another owner has taken over.
+// closeLocked closes the shard because another owner has taken over, and answers all waiting
+// clients.
 func (s *Shard) closeLocked(fx *Effects) {
 	if s.closed {
 		return
--- a/coordination/owner/objective.go
+++ b/coordination/owner/objective.go
@@ -6,8 +6,8 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// objective is the latency objective of a job: its longest chain of steps by
-// the run times that its queue has shown, with the queue's slack.
+// objective returns the latency objective of a job: the length of its critical path, by the run
+// times measured in its queue, times the queue's slack factor, plus the queue's target.
 func (s *Shard) objective(spec *job.Spec, p *job.Policy) time.Duration {
 	chain := s.chain(spec, p)
 	return time.Duration(float64(chain)*max(p.Slack, 1)) + p.Target
--- a/coordination/owner/owner.go
+++ b/coordination/owner/owner.go
@@ -1,11 +1,10 @@
-// Package owner runs the jobs of one shard: it accepts them, has them recorded
-// before it says so, places their tasks on agents, and settles how they ended.
-// A shard has one owner at a time. Its epoch shuts out earlier owners, at the
-// store and at each agent, so nothing here rests on who is believed alive.
+// Package owner runs the jobs of one shard: it admits them, has them recorded before it accepts
+// them, places their tasks on agents, and records how they ended. A shard has one owner at a time.
+// The owner's epoch is a fencing token: the store and each agent reject requests of earlier owners,
+// so correctness does not depend on detecting which owner is alive.
 //
-// The machine is pure: time comes in as now, a reading of the boot clock;
-// records, orders and replies come out as Effects. It is safe for concurrent
-// use.
+// Shard is a state machine without I/O: it gets the time as now, a reading of the boot clock, and
+// returns records, orders and replies as Effects. It is safe for concurrent use.
 package owner
 
 import (
@@ -16,54 +15,54 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// Bounds are figures of the platform and the settings.
+// Bounds are time limits given by the platform and the settings.
 type Bounds struct {
-	// WaitOut is how long after a link was lost the runs behind it may still
-	// be at work: the agent's bound on a silent owner, the longest lease, and
-	// a margin.
+	// WaitOut is how long after the loss of a link the runs behind it may still be at work: the
+	// agent's limit on a silent owner, the longest lease, and a margin.
 	WaitOut time.Duration
-	// Takeover is the same for an agent that this owner never reached, whose
-	// earlier owner may have gone on renewing for a while.
+	// Takeover is the same for an agent that this owner has never reached. An earlier owner may
+	// have renewed the runs there for some time after the takeover.
 	Takeover time.Duration
-	// Retention is how long an ended job can be asked for.
+	// Retention is how long the state of an ended job can be queried.
 	Retention time.Duration
-	// LazyWrite is how long an end may wait for its record while its job goes
-	// on; most jobs end before that and need no record in between.
+	// LazyWrite is how long the write of a run's end may be delayed while its job continues. Most
+	// jobs end before that and need no intermediate record.
 	LazyWrite time.Duration
 }
 
-// Reply is a verdict on its way to whoever asked.
+// Reply is a response and the function to pass it to.
 type Reply struct {
 	To      func(Verdict)
 	Verdict Verdict
 }
 
-// Effects is what a step asks of the driver.
+// Effects is what the caller has to do after a step of the state machine.
 type Effects struct {
 	Orders  []Placed[worker.Order]
 	Stops   []Placed[job.RunID]
 	Settled []Placed[Settlement]
-	// Relinks are the agents whose links are to be made anew.
+	// Relinks has the agents whose links have to be replaced by new ones.
 	Relinks []string
 	Replies []Reply
 	Log     []Decision
-	// Write is set when records wait for the store.
+	// Write is set when there are records to write to the store.
 	Write bool
 }
 
-// Placed is something for one agent.
+// Placed is a value to send to an agent.
 type Placed[T any] struct {
 	Node string
 	What T
 }
 
-// Settlement tells an agent what became of an end.
+// Settlement tells an agent that the end of a run is handled. Void means that the end is superseded
+// and must never be acknowledged.
 type Settlement struct {
 	Run  job.RunID
 	Void bool
 }
 
-// Decision is a line for the log.
+// Decision is an event in the life of a job, to be logged and counted by Kind.
 type Decision struct {
 	What   string
 	Job    job.ID
@@ -72,48 +71,47 @@
 	Reason string
 	Wait   time.Duration
 	Age    time.Duration
-	// Count is of suspects, or of lost servers.
+	// Count is the number of suspects or of lost servers.
 	Count int
-	// Refusal is what a refusal was decided by; nil for other decisions.
+	// Refusal has the figures behind a refusal; nil for other decisions.
 	Refusal *Refusal
 }
 
-// Refusal is what the refusal of a job for want of room was decided by.
+// Refusal has the figures behind the refusal of a job for lack of capacity.
 type Refusal struct {
-	// Predicted is the longest predicted wait of a step, Here the part of it behind tasks
-	// that wait at this owner, Limit the longest with which the job would have been taken
-	// as one in time, and Late when it would have ended as a late one; zero: it can't be
-	// late.
+	// Predicted is the longest predicted wait of a step, Here the part of it behind tasks that wait
+	// at this owner, and Limit the longest wait with which the job would have been accepted as in
+	// time. Late is when it would have ended if accepted as late; zero: it can't be late.
 	Predicted, Here, Limit, Late time.Duration
-	// Objective is the job's latency objective, and Waited what its client has waited.
+	// Objective is the job's latency objective, and Waited how long its client has waited already.
 	Objective, Waited time.Duration
-	// Free and Cores are what the agents that may have the job were believed to have, in
-	// cores, and News is the age of the oldest word of one of them.
+	// Free and Cores are the estimated free and total cores of the agents that may have the job,
+	// and News is the age of the oldest load among them.
 	Free, Cores float64
 	News        time.Duration
 }
 
-// WantsRoom reports whether a decision was made for want of room at the linked agents.
+// WantsRoom reports whether the linked agents had too little capacity for a job to run in time.
 func (d *Decision) WantsRoom() bool {
 	return d.Reason == ReasonOverload || d.Reason == ReasonNoWorker || d.Reason == ReasonDrained || d.What == wordLate
 }
 
-// taskPhase is how far a task has come at its owner.
+// taskPhase is the state of a task at its owner.
 type taskPhase uint8
 
 const (
 	// idle: no run is under way.
 	idle taskPhase = iota
-	// inDoubt: a run of an earlier owner may be under way somewhere.
+	// inDoubt: a run of an earlier owner may be under way on some agent.
 	inDoubt
 	// ordered: an order was sent.
 	ordered
-	// active: the run is at work.
+	// active: the run has started.
 	active
-	// stopping: the run was told to stop and has not ended yet. Another must
-	// not start before that.
+	// stopping: the run was told to stop and has not ended yet. Until it ends, no other run of the
+	// task may start.
 	stopping
-	// over: done, or the job has ended.
+	// over: the task is done, or the job has ended.
 	over
 )
 
@@ -125,17 +123,18 @@
 	waiting bool
 	node    string
 	failed  string
-	// held is the end of an earlier owner's run, while a newer one may turn up.
+	// held is the end of an earlier owner's run, kept while a newer run may still be found.
 	held *Placed[worker.RunState]
-	// awaits is the number of the run whose end awaits its record; zero: none.
+	// awaits is the number of the run whose end is not recorded yet; zero: none.
 	awaits int64
-	// unsettled has ends whose record was not taken to the store yet.
+	// unsettled has ends that are in no write to the store yet.
 	unsettled []Placed[Settlement]
-	// recorded is the number of the newest run that the store has as lost with its server,
-	// and lostAt when the last one was lost.
+	// recorded is the number of the newest run that the store has as lost with its server, and
+	// lostAt when the last run was lost.
 	recorded int64
 	lostAt   time.Duration
-	// acquitted is the number of the run up to which lost servers say nothing.
+	// acquitted is the number of a run: losses of servers under it and under earlier runs are no
+	// evidence against the task.
 	acquitted int64
 }
 
@@ -151,68 +150,70 @@
 	due      time.Duration
 	// useful is when an answer stops being of use; zero: never.
 	useful time.Duration
-	// yields is set for a job that can only be late.
+	// yields is set for a job that can't be in time.
 	yields bool
 	// ordered is set once an order for a task was sent.
 	ordered bool
 	waiters []func(Verdict)
 	cancels []func(Verdict)
-	// watchers are told of the end, once it is recorded.
+	// watchers get a reply when the job's end is recorded.
 	watchers []func(Verdict)
-	// gone counts the waiters that have left.
+	// gone counts the waiters that no longer wait for their reply.
 	gone int
-	// written is when the record must be written at the latest; zero: clean.
+	// writeBy is when the record must be written at the latest; zero: there are no changes to
+	// write.
 	writeBy time.Duration
 	// drop is set when the record is to be removed from the store.
 	drop bool
 }
 
-// Shard is the machine.
+// Shard is the state machine of one shard.
 type Shard struct {
 	ID    int
 	Epoch int64
-	// private shards hold best-effort jobs only. They belong to one life of an
-	// agent and end with it; nothing of them is recorded.
+	// private shards hold best-effort jobs only. They belong to one process, end with it, and
+	// record nothing.
 	private bool
 	bounds  Bounds
 	fleet   *Fleet
-	// opened is when this owner took the shard.
+	// opened is when this owner took over the shard.
 	opened time.Duration
 
 	mu sync.Mutex
 	// All fields below are guarded by mu.
 
 	jobs map[job.ID]*jobState
-	// dirty has the jobs whose records wait for the store, in order.
+	// dirty has the jobs whose records have to be written, in order.
 	dirty []job.ID
-	// patience has what clients named in each queue.
+	// patience has, for each queue, how long the clients of its last submissions said that they
+	// would wait.
 	patience map[string]*patienceLog
-	// waiting has the tasks for which no agent has room.
+	// waiting has the tasks for which no agent has free capacity.
 	waiting backlog
 	links   map[string]*linkState
-	// waitFor has agents of earlier owners that have not answered yet, with
-	// the time after which they need not.
+	// waitFor has the agents of earlier owners that have not answered a claim yet, with the time
+	// after which the owner no longer waits for them.
 	waitFor map[string]time.Duration
-	// named has the agents that the store names as possibly having runs of
-	// this shard, and naming is set while that list has to be written.
+	// named has the agents that the store lists as possibly having runs of this shard. naming is
+	// set while that list has to be written.
 	named  map[string]bool
 	naming bool
-	// expiring has ended jobs in the order in which they expire.
+	// expiring has the recorded jobs that have ended, in the order in which they expire.
 	expiring []expiry
-	// fading has the same of best-effort jobs.
+	// fading is the same for best-effort jobs.
 	fading []expiry
-	// queued counts jobs without a started task, by queue.
+	// queued counts, for each queue, the jobs of which no task has started.
 	queued map[string]int
-	// suspects are the tasks under which backend servers were lost, and losses the
-	// servers that were lost last.
+	// suspects are the tasks under which backend servers were lost, and losses the most recent
+	// losses of servers.
 	suspects map[job.TaskID]bool
 	losses   []loss
 	// storeBad is set while records can't be written.
 	storeBad bool
-	// missed is set when an agent that earlier owners had sent orders to was
-	// never reached: what ran there is not known.
+	// missed is set when an agent that earlier owners had sent orders to was never reached. What
+	// ran there is unknown.
 	missed bool
-	// unconfirmed is set while the group may have given the shard to another.
+	// unconfirmed is set while the group may have assigned the shard to another owner.
 	unconfirmed bool
 	// closed is set once another owner has taken over.
 	closed bool
@@ -223,22 +224,22 @@
 	at time.Duration
 }
 
-// linkState is what the owner knows of its link to an agent. Guarded by
-// Shard.mu.
+// linkState is the owner's state of its link to an agent. Guarded by Shard.mu.
 type linkState struct {
 	session int64
-	// since is when the session was claimed.
+	// since is when the claim was sent, or when a new link was last requested because the claim was
+	// not answered.
 	since time.Duration
 	// claimed is set once the agent has answered this session's claim.
 	claimed bool
-	// lostAt is when the link was lost; tasks there are awaited until then
-	// plus Bounds.WaitOut.
+	// lostAt is when the link was lost. The owner waits until lostAt plus Bounds.WaitOut before it
+	// starts the tasks there elsewhere.
 	lost   bool
 	lostAt time.Duration
 }
 
-// New returns the shard's machine with the records that the store has.
-// mayRun names the agents that earlier owners have sent orders to.
+// New returns the shard with the records from the store. mayRun has the agents that earlier owners
+// have sent orders to.
 func New(now time.Duration, id int, epoch int64, b Bounds, f *Fleet, records []*job.Record, mayRun []string) *Shard {
 	s := &Shard{
 		ID: id, Epoch: epoch, bounds: b, fleet: f, opened: now,
@@ -260,8 +261,7 @@
 	return s
 }
 
-// NewPrivate returns a shard for best-effort jobs. Its number must be the
-// owner's alone.
+// NewPrivate returns a shard for best-effort jobs. No other owner may use its number.
 func NewPrivate(now time.Duration, id int, b Bounds, f *Fleet) *Shard {
 	s := New(now, id, 1, b, f, nil, nil)
 	s.private = true
@@ -292,7 +292,7 @@
 	s.queued[r.Policy.Queue]++
 }
 
-// expireLocked has an ended job forgotten in time.
+// expireLocked schedules the removal of an ended job.
 func (s *Shard) expireLocked(now time.Duration, j *jobState) {
 	if j.rec.Spec.BestEffort {
 		s.fading = append(s.fading, expiry{id: j.rec.ID, at: now + resendBound})
@@ -301,6 +301,6 @@
 	s.expiring = append(s.expiring, expiry{id: j.rec.ID, at: now + s.bounds.Retention})
 }
 
-// resendBound is how long a best-effort job's answer is kept for a client that
-// sends the job again: it does so 1.3 s after it lost the first answer.
+// resendBound is how long the answer to a best-effort job is kept for a client that sends the job
+// again, which it does 1.3 s after it lost the first answer.
 const resendBound = 10 * time.Second
--- a/coordination/owner/placement.go
+++ b/coordination/owner/placement.go
@@ -8,20 +8,20 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// placement is the choice of an agent for one task.
+// placement is a possible agent for one task, with the predicted wait and end.
 type placement struct {
 	node   string
 	wait   time.Duration
 	finish time.Duration
-	// left is the share of the agent that stays free beside the task.
+	// left is the share of the agent's cores that stays free beside the task.
 	left float64
-	// rank is finish, and behind all others where the agent is a last resort.
+	// rank is finish plus the penalties of agents that are to be chosen after others.
 	rank time.Duration
 }
 
-// Place chooses the agent on which a task ends first, among those that may have
-// it, and books it there. It is false when there is none, or when the task would
-// wait there longer than it may be bound for.
+// Place chooses the agent on which a task ends first, among those that may have it, and adds the
+// task to the agent's pending orders. It returns false if no agent is eligible, or if the task
+// would have to wait too long at the chosen one.
 func (f *Fleet) Place(n Need, may func(node string) bool) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -33,8 +33,8 @@
 	return p.node, true
 }
 
-// bindsLocked reports whether a task may be sent to where it waits for so long.
-// One that yields goes only where there is room now.
+// bindsLocked reports whether a task may be sent to an agent with the predicted wait. A late task
+// is sent only where there is free capacity now.
 func (f *Fleet) bindsLocked(n Need, p placement) bool {
 	if n.Yields {
 		return p.wait == 0 && p.left >= f.params.YieldReserve
@@ -42,8 +42,8 @@
 	return f.params.BindWithin == 0 || p.wait <= f.params.BindWithin
 }
 
-// Room returns the cores of the agents that may have a task, and how many times as much
-// work comes there as from this process.
+// Room returns the total cores of the agents that may have a task, and the ratio of all work placed
+// there to that of this process.
 func (f *Fleet) Room(n Need, may func(node string) bool) (cores, times float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -57,13 +57,14 @@
 			agents++
 		}
 	}
-	// The most crowded agent counts, as far as this process orders no more than others.
+	// The agent with the most placers decides, scaled down if this process sends more orders than
+	// the others.
 	mean := max(float64(sum)/float64(max(agents, 1)), 1)
 	return cores, float64(max(placers, 1)) * min(f.crowd.of(int(mean))/mean, 1)
 }
 
-// believed is what the agents that may have a task are believed to have free and in all, in
-// cores, beyond what is under way to them, and the age of the oldest word of one of them.
+// believed returns the estimated free cores, less pending orders, and the total cores of the agents
+// that may have a task, and the age of the oldest load among them.
 func (f *Fleet) believed(now time.Duration, n Need, may func(node string) bool) (free, cores float64, news time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -79,15 +80,15 @@
 	return free, cores, news
 }
 
-// Predict estimates when the last of a number of equal tasks would end if they
-// were placed now. It is false when no agent is eligible.
+// Predict estimates when the last of a number of equal tasks would end if they were placed now. It
+// returns false if no agent is eligible.
 func (f *Fleet) Predict(n Need, tasks int, may func(node string) bool) (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var finish time.Duration
-	// queued is what the tasks need that find no room now, rate that at which cores become
-	// free, and ahead how long the work that waits already keeps them busy. On most days
-	// there is room, and none of it is needed.
+	// queued is the demand of the tasks that find no free capacity now, rate the rate at which
+	// cores become free, and ahead how long the work that waits already keeps them busy. Usually
+	// there is free capacity and none of them is needed.
 	var queued int64
 	var rate float64
 	var ahead time.Duration
@@ -118,9 +119,9 @@
 	return finish, true
 }
 
-// turnoverLocked is the rate at which cores become free at the agents that may have a task,
-// in thousandths of a core a second, and how long what waits there before it keeps all of
-// them busy.
+// turnoverLocked returns the rate at which cores become free at the agents that may have a task, in
+// thousandths of a core per second, and how long the work that waits there before the task keeps
+// all of them busy.
 func (f *Fleet) turnoverLocked(n Need, may func(node string) bool) (rate float64, ahead time.Duration) {
 	var before time.Duration
 	var cores int64
@@ -163,12 +164,13 @@
 	return best, found
 }
 
-// fullestRank puts an agent whose worker is full behind an empty one, for a suspect. It is
-// more than the waits differ by, so that the fewest others run beside it.
+// fullestRank ranks an agent whose worker is full behind an empty one, for a suspect. It is more
+// than the waits differ by, so that a suspect runs beside as few others as possible.
 const fullestRank = time.Second
 
-// company ranks an agent for a suspect by what runs there: other suspects, which are still
-// better than an agent whose server was lost under it, or how much.
+// company ranks an agent for a suspect by how much runs there and whether that includes other
+// suspects. An agent with other suspects is still better than one whose server was lost under the
+// task.
 func (v *agentView) company(p placement) time.Duration {
 	rank := time.Duration((1 - p.left) * float64(fullestRank))
 	if v.load.Suspects > 0 || slices.ContainsFunc(v.pending, func(o pendingOrder) bool { return o.suspect }) {
@@ -183,11 +185,12 @@
 // serves reports whether new work may be started at an agent.
 func (v *agentView) serves() bool { return v.load.Accepts && !v.drained }
 
-// isDrained reports whether an agent's failure domain is drained, by what this process or
-// the agent knows.
+// isDrained reports whether an agent's failure domain is drained, by what this process or the agent
+// knows.
 func (v *agentView) isDrained() bool { return v.drained || v.load.Drained }
 
-// DrainedOnly reports whether a task would find an agent if no failure domain were drained.
+// DrainedOnly reports whether agents could have a task but all of them are in drained failure
+// domains.
 func (f *Fleet) DrainedOnly(n Need, may func(node string) bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -211,11 +214,10 @@
 	return n.Label == "" || slices.Contains(l.Labels, n.Label)
 }
 
-// lastResort puts an agent behind all others.
+// lastResort ranks an agent behind all others.
 const lastResort = time.Minute
 
-// predictLocked estimates how long a task would wait at an agent and when it
-// would end.
+// predictLocked estimates how long a task would wait at an agent and when it would end.
 func (f *Fleet) predictLocked(node string, v *agentView, n Need) placement {
 	taken, work := v.booked(n.Now, f.params.Alike*f.crowd.of(v.load.Placers))
 	free := v.load.Free.Minus(taken)
@@ -234,9 +236,10 @@
 	return p
 }
 
-// booked is what is taken to be under way to an agent beyond its last news, where each
-// order stands for so many. The tasks of one job are placed at one time, and no other
-// process has that job.
+// booked returns the demand and the core time of the orders that are estimated to be on their way
+// to an agent since its last load, where each pending order of this process stands for a number of
+// orders of all processes. Orders placed at the same time as this one count once: they are tasks of
+// the same job, which no other process has.
 func (v *agentView) booked(now time.Duration, each float64) (taken job.Demand, work time.Duration) {
 	others := max(1, each)
 	for i := range v.pending {
--- a/coordination/owner/reach.go
+++ b/coordination/owner/reach.go
@@ -1,6 +1,6 @@
 package owner
 
-// Concerns reports whether anything of this shard may be at an agent.
+// Concerns reports whether any agent may have runs of this shard.
 func (s *Shard) Concerns() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -15,8 +15,7 @@
 	return false
 }
 
-// Occupied reports whether anything of this shard may be at an agent: a run, or an end
-// that is not settled.
+// Occupied reports whether an agent may have a run of this shard, or an end that is not settled.
 func (s *Shard) Occupied(node string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,7 +33,7 @@
 	return false
 }
 
-// Awaited names the agents of earlier owners that have not answered a claim yet.
+// Awaited returns the agents of earlier owners that have not answered a claim yet.
 func (s *Shard) Awaited() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +44,7 @@
 	return out
 }
 
-// Reach counts the agents to which orders may go.
+// Reach returns the number of agents to which orders may go.
 func (s *Shard) Reach() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/coordination/owner/restart.go
+++ b/coordination/owner/restart.go
@@ -7,19 +7,19 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// restart says whether a task under which servers were lost may be started again.
+// restart tells whether a task under which servers were lost may be started again.
 type restart uint8
 
 const (
-	// restartNow: it may, with the caution that its crashes ask for.
+	// restartNow: it may be started, with the caution that its crashes require.
 	restartNow restart = iota
-	// restartLater: that depends on news of a server.
+	// restartLater: the decision depends on reports about a lost server.
 	restartLater
-	// restartNever: it is given up.
+	// restartNever: the task is given up.
 	restartNever
 )
 
-// restartLocked says whether a task may be started again, by the servers lost under it.
+// restartLocked decides whether a task may be started again, by the servers lost under it.
 func (s *Shard) restartLocked(now time.Duration, t *task, rec *job.TaskRecord) restart {
 	n, most := len(rec.Crashes), s.fleet.params.CrashesMost
 	if n == 0 {
@@ -47,13 +47,13 @@
 	case since < forgetCrash:
 		return restartLater
 	}
-	// Nobody can tell any more what became of those: their agents are lost too.
+	// No report can come for the unconfirmed crashes any more, because their agents are lost too.
 	rec.Crashes = slices.DeleteFunc(slices.Clone(rec.Crashes), func(c job.Crash) bool { return !c.Confirmed })
 	return restartNow
 }
 
-// maySuspectStartLocked reports whether a task under which servers were lost may be ordered
-// now; one that is given up fails its job.
+// maySuspectStartLocked reports whether a task may be ordered now with regard to the servers lost
+// under it. A task that is given up fails its job.
 func (s *Shard) maySuspectStartLocked(now time.Duration, fx *Effects, j *jobState, id job.TaskID, t *task) bool {
 	rec := j.rec.Task(id)
 	if len(rec.Crashes) == 0 {
@@ -66,12 +66,12 @@
 		s.giveUpCrasherLocked(now, fx, j, id, t, rec)
 		return false
 	}
-	// A crash that no record has is forgotten with its owner, and the next one would start
-	// the task as often again.
+	// A crash without a record is lost with its owner, and the next owner would start the task as
+	// many times again.
 	return j.rec.Spec.BestEffort || len(rec.Crashes) < recordedFrom || t.recorded >= newestCrash(rec)
 }
 
-// newestCrash is the number of the newest run that was lost with its server.
+// newestCrash returns the number of the newest run that was lost with its server.
 func newestCrash(rec *job.TaskRecord) int64 {
 	var newest int64
 	for i := range rec.Crashes {
@@ -90,7 +90,8 @@
 	s.acquitNeighboursLocked(now, fx, crashed)
 }
 
-// acquitNeighboursLocked takes the servers that a task has crashed from the other suspects.
+// acquitNeighboursLocked removes the servers that a task has crashed from the crashes of the other
+// suspects.
 func (s *Shard) acquitNeighboursLocked(now time.Duration, fx *Effects, crashed []job.Crash) {
 	for id := range s.suspects {
 		j := s.jobs[id.Job]
@@ -116,7 +117,7 @@
 	}
 }
 
-// acquitLocked takes in that a run of a suspect has ended, and its server with it has not.
+// acquitLocked clears a task of suspicion after a run of it has ended without its server.
 func (s *Shard) acquitLocked(fx *Effects, t *task, rec *job.TaskRecord, run job.RunID, node string) {
 	t.acquitted = run.Number
 	if len(rec.Crashes) == 0 {
@@ -127,7 +128,7 @@
 	fx.log(Decision{What: "crash_acquitted", Job: run.Task.Job, Run: run, Node: node, Reason: "ended"})
 }
 
-// retrySuspectsLocked looks again at suspects that wait for news of a server.
+// retrySuspectsLocked tries again to start suspects that wait for reports about a server.
 func (s *Shard) retrySuspectsLocked(now time.Duration, fx *Effects) {
 	for id := range s.suspects {
 		j := s.jobs[id.Job]
@@ -135,8 +136,8 @@
 			delete(s.suspects, id)
 			continue
 		}
-		// One that was acquitted while it waited for news or for its record has to be
-		// started here: nothing else looks at it any more.
+		// A task that was cleared while it waited for a report or for its record is started only
+		// from here.
 		if t := s.taskLocked(j, id); t.phase == idle && j.durable {
 			s.orderLocked(now, fx, j, id, t)
 		}
--- a/coordination/owner/submit.go
+++ b/coordination/owner/submit.go
@@ -7,31 +7,31 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// Reasons of refusals. They are labels of counters and words of log lines.
+// Reasons of refusals. They are labels of metrics and values in log lines.
 const (
-	// ReasonOverload: the job would end too late, by the work that waits.
+	// ReasonOverload: the job would end too late because of the work that waits.
 	ReasonOverload = "overload"
-	// ReasonNoWorker: no backend server can run it now.
+	// ReasonNoWorker: no backend server can run the job now.
 	ReasonNoWorker = "no_worker"
-	// All agents that may have a task are in failure domains that are drained.
+	// ReasonDrained: all agents that may have a task are in drained failure domains.
 	ReasonDrained = worker.ReasonDomainDrained
 	// ReasonStore: the record can't be written now.
 	ReasonStore = "store_unavailable"
-	// ReasonConflict: the ID stands for another job.
+	// ReasonConflict: the ID is in use for another job.
 	ReasonConflict = "id_conflict"
-	// ReasonNoOwner: no owner of the shard is known, and nobody was asked.
+	// ReasonNoOwner: no owner of the shard is known, so no request was sent.
 	ReasonNoOwner = "no_owner"
 	// ReasonLost: the owner was lost before it answered.
 	ReasonLost = "owner_lost"
 	// ReasonTime: the client's time limit has passed.
 	ReasonTime = "time_limit"
-	// ReasonTakeover: the shard's owner has changed.
+	// ReasonTakeover: the shard has another owner now.
 	ReasonTakeover = "owner_changed"
 )
 
-// Submit accepts a job, or refuses it at once when it can't be served. The
-// reply comes when the job's record is in the store. A job that is known is
-// accepted again.
+// Submit accepts a job, or refuses it at once if it can't be served in time. An accepted job is
+// replied to once its record is in the store, or, for a best-effort job, once it has ended. A job
+// that is known already is accepted again.
 func (s *Shard) Submit(now time.Duration, id job.ID, spec job.Spec, p job.Policy, reply func(Verdict)) Effects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,8 +94,8 @@
 	j.waiters = append(j.waiters, reply)
 }
 
-// Abandon ends a best-effort job for whose answer nobody waits any more: its
-// work would be for nothing. If it is sent again, what is done counts.
+// Abandon cancels a best-effort job when no client waits for its answer any more, since its work
+// would be wasted. If the job is submitted again, its completed tasks count.
 func (s *Shard) Abandon(now time.Duration, id job.ID) Effects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,8 +114,8 @@
 	return fx
 }
 
-// reviveLocked goes on with a best-effort job that was abandoned. Runs that
-// were told to stop must have ended before their tasks start again.
+// reviveLocked continues a best-effort job that was abandoned. Runs that were told to stop must
+// have ended before their tasks start again.
 func (s *Shard) reviveLocked(now time.Duration, fx *Effects, j *jobState) {
 	if j.rec.State != job.Cancelled {
 		return
@@ -143,7 +143,7 @@
 	}
 }
 
-// Lookup tells a job's state as far as it is recorded, and what it has come to.
+// Lookup returns a job's recorded state, and its results or failure.
 func (s *Shard) Lookup(id job.ID) Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,7 +160,7 @@
 	return endVerdict(j)
 }
 
-// Await replies when a job has ended and its end is recorded.
+// Await replies when the job's end is recorded.
 func (s *Shard) Await(id job.ID, reply func(Verdict)) Effects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,7 +179,7 @@
 	return fx
 }
 
-// endVerdict tells a job's state, and what it came to if it has ended.
+// endVerdict returns a job's state, and its results or failure if it has ended.
 func endVerdict(j *jobState) Verdict {
 	v := Verdict{Outcome: OK, State: j.shown, Failure: j.rec.Failure, Elapsed: j.rec.Elapsed}
 	if j.shown == job.Completed {
@@ -188,7 +188,7 @@
 	return v
 }
 
-// Cancel ends a job. The reply comes when that is recorded.
+// Cancel cancels a job and replies when that is recorded.
 func (s *Shard) Cancel(now time.Duration, id job.ID, reply func(Verdict)) Effects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,7 +214,7 @@
 	return fx
 }
 
-// Pending counts a queue's accepted jobs of which no task has started.
+// Pending returns the number of a queue's accepted jobs of which no task has started.
 func (s *Shard) Pending(queue string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/coordination/owner/verdict.go
+++ b/coordination/owner/verdict.go
@@ -7,20 +7,20 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// Outcome of a question.
+// Outcome is the outcome of a request.
 type Outcome uint8
 
-// Outcomes of Submit, Lookup, Cancel and Pending.
+// Outcomes of Submit, Lookup, Await, Cancel and Pending.
 const (
-	// OK: accepted, known, cancelled, counted.
+	// OK: the job is accepted, known or cancelled, or the jobs are counted.
 	OK Outcome = iota
 	// Refused: the job was not accepted and never runs.
 	Refused
-	// Unknown: it may have been accepted; the same ID may be sent again.
+	// Unknown: the job may have been accepted; it may be submitted again with the same ID.
 	Unknown
 	// Absent: there is no such job.
 	Absent
-	// NotOwner: ask another process.
+	// NotOwner: this process does not own the shard; another one has to be asked.
 	NotOwner
 )
 
@@ -40,15 +40,15 @@
 	return "outcome " + strconv.Itoa(int(o))
 }
 
-// Verdict answers a question.
+// Verdict is the response to a request.
 type Verdict struct {
 	Outcome    Outcome
 	Reason     string
 	State      job.State
 	RetryAfter time.Duration
 	Count      int
-	// Tasks has the results of a completed job in the order of its tasks, and
-	// Failure says why a job failed.
+	// Tasks has the results of a completed job in the order of its tasks, and Failure is the reason
+	// why a job failed.
 	Tasks   []job.TaskRecord
 	Failure string
 	// Known is set for a submission of a job that had been submitted before.
--- a/coordination/owner/waiting.go
+++ b/coordination/owner/waiting.go
@@ -8,9 +8,9 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// orderLocked sends a task to an agent that has room, or has it wait here. One that
-// waits already is passed over: each end of a job's task has its other idle ones looked
-// at, and a job of a thousand would fill the backlog with itself a thousand times.
+// orderLocked sends a task to an agent with free capacity, or adds it to the backlog. A task in the
+// backlog is skipped: each end of a run calls this for all idle tasks of the job, and a job of a
+// thousand tasks would add each of them a thousand times.
 func (s *Shard) orderLocked(now time.Duration, fx *Effects, j *jobState, id job.TaskID, t *task) {
 	if t.waiting || !s.maySuspectStartLocked(now, fx, j, id, t) {
 		return
@@ -30,7 +30,7 @@
 	return waitingTask{id: id, where: where, yields: j.yields, latest: j.due - n.Estimate, work: coreTime(n)}
 }
 
-// bindLocked sends a task to an agent, if one has room for it soon.
+// bindLocked sends a task to an agent, if one will have free capacity soon.
 func (s *Shard) bindLocked(now time.Duration, fx *Effects, j *jobState, id job.TaskID, t *task) bool {
 	rec := j.rec.Task(id)
 	need := s.need(&j.rec.Policy, &j.rec.Spec.Steps[id.Step])
@@ -48,14 +48,14 @@
 	return true
 }
 
-// Waiting reports whether tasks wait here for room.
+// Waiting reports whether tasks wait at this owner for free capacity.
 func (s *Shard) Waiting() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.waiting.tasks) > 0
 }
 
-// News has the tasks that wait here looked at again: an agent may have room.
+// News tries to place the waiting tasks after an agent has reported a new load.
 func (s *Shard) News(now time.Duration) Effects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,12 +66,12 @@
 	return fx
 }
 
-// placeWaitingLocked sends what waits here to agents that have room by now.
+// placeWaitingLocked sends waiting tasks to agents that have free capacity now.
 //
-// It looks no further than the first task of each place that finds no room. News comes
-// some hundred times a second, most while agents are full: with a look at all that waits, an
-// entry that had a hundred jobs waiting spent more than its processor on them, fell behind
-// its frames, and had more waiting.
+// For each placement key it tries only the tasks up to the first that can't be placed. Loads arrive
+// some hundred times a second, most of them while agents are full. When all waiting tasks were
+// tried each time, an entry with a hundred jobs waiting spent more than its processor on that, fell
+// behind with handling its frames, and had even more jobs waiting.
 func (s *Shard) placeWaitingLocked(now time.Duration, fx *Effects) {
 	s.waiting.measure(now, s.fleet.params.YieldMemory)
 	full := make(map[placeKey]bool)
@@ -84,7 +84,8 @@
 			return leave
 		}
 		if full[w.where] {
-			// Smaller ones behind it don't overtake: a wide one would starve.
+			// Smaller tasks behind it must not overtake it, or a task with a large demand would
+			// starve.
 			return stay
 		}
 		if s.tooLateLocked(now, j, w) {
@@ -104,7 +105,8 @@
 	})
 }
 
-// stillWaitsLocked returns the job and the task that wait, or nil if they don't any more.
+// stillWaitsLocked returns the job and the task of an entry in the backlog, or nil if the task no
+// longer waits.
 func (s *Shard) stillWaitsLocked(w *waitingTask) (*jobState, *task) {
 	j := s.jobs[w.id.Job]
 	if j == nil {
@@ -121,7 +123,7 @@
 	return j, t
 }
 
-// dropHopelessLocked gives up the jobs that wait here and can't be of use any more.
+// dropHopelessLocked gives up the waiting jobs whose answers can't be of use any more.
 func (s *Shard) dropHopelessLocked(now time.Duration, fx *Effects) {
 	reachable := make(map[placeKey]job.Demand)
 	s.waiting.filter(func(w *waitingTask) fate {
@@ -139,9 +141,9 @@
 	})
 }
 
-// hopelessLocked says why a job of which nothing has started can't be of use any more, or
-// "". Reachable has a demand of each place for which an agent is there: one look at the
-// agents does for all that ask for as much.
+// hopelessLocked returns why the answer to a job of which nothing has started can't be of use any
+// more, or "". reachable has, for each placement key, a demand for which an agent is eligible, so
+// that the agents are examined only once for all tasks that need no more.
 func (s *Shard) hopelessLocked(now time.Duration, j *jobState, w *waitingTask, reachable map[placeKey]job.Demand) string {
 	if j.useful == 0 || j.ordered {
 		return ""
@@ -159,14 +161,15 @@
 		return ""
 	}
 	if s.expectsAgents(now, &j.rec.Spec) || s.fleet.Offers(j.rec.Policy.Service, st.Label, job.Demand{}) {
-		// It fitted when it was accepted, and what has shrunk may grow again.
+		// Some agent could run the job when it was accepted. Capacity that has shrunk may grow
+		// again.
 		return ""
 	}
 	return s.noWorkerReason(need)
 }
 
-// tooLateLocked reports whether a job of which nothing has started would end too late to
-// be of use if it began now.
+// tooLateLocked reports whether a job of which nothing has started would end too late to be of use
+// even if it started now.
 func (s *Shard) tooLateLocked(now time.Duration, j *jobState, w *waitingTask) bool {
 	if j.useful == 0 || j.ordered {
 		return false
@@ -174,8 +177,8 @@
 	return now > j.useful-s.fleet.Expect(j.rec.Policy.Queue, j.rec.Spec.Steps[w.id.Step].Estimate)
 }
 
-// giveUpLocked refuses a job that was to wait and of which nothing has started. Its
-// client is told so as soon as that is known, and may go elsewhere.
+// giveUpLocked refuses a job that was accepted and of which nothing has started. Its client is told
+// at once and can submit the job elsewhere.
 func (s *Shard) giveUpLocked(now time.Duration, fx *Effects, j *jobState, reason string) {
 	fx.log(Decision{What: "given_up", Job: j.rec.ID, Reason: reason, Age: now - j.accepted})
 	for _, w := range j.waiters {
--- a/coordination/owner/waitout.go
+++ b/coordination/owner/waitout.go
@@ -6,7 +6,7 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// reclaimLocked makes tasks startable again whose runs are gone for certain.
+// reclaimLocked makes tasks startable again whose runs are certain to be gone.
 func (s *Shard) reclaimLocked(now time.Duration, fx *Effects, gone func(job.TaskID, *task) bool) {
 	for id, j := range s.jobs {
 		n := 0
@@ -28,12 +28,12 @@
 	}
 }
 
-// waitOutLocked gives up links and agents of earlier owners whose bound has
-// passed: what ran there was stopped or has lost its lease.
+// waitOutLocked gives up lost links, and agents of earlier owners, whose timeouts have passed: the
+// runs there were stopped or have lost their leases.
 //
-// Only an owner that the group has confirmed may do so. The next owner may have
-// claimed the runs that this one has waited for, and keep them at work; started
-// again at an agent that the next one can't reach, they would run twice.
+// Only an owner that the group has confirmed may do so. The next owner may have claimed the runs
+// that this one waits for and keep them at work. If this owner started their tasks again, at an
+// agent that the next one can't reach, they would run twice.
 func (s *Shard) waitOutLocked(now time.Duration, fx *Effects) {
 	if s.unconfirmed {
 		return
@@ -71,8 +71,7 @@
 	}
 }
 
-// resolveLocked starts the tasks in doubt once no agent is left that could have
-// a run of them.
+// resolveLocked starts the tasks in doubt once no agent is left that could have a run of them.
 func (s *Shard) resolveLocked(now time.Duration, fx *Effects) {
 	if len(s.waitFor) > 0 {
 		return
--- a/coordination/owner/write.go
+++ b/coordination/owner/write.go
@@ -7,29 +7,29 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// Write is a record on its way to the store.
+// Write is the write of one record to the store.
 type Write struct {
 	ID job.ID
 	// Record is the job's newest record; nil removes it.
 	Record *job.Record
-	// settles has the ends that the record covers.
+	// settles has the settlements of the ends that the record covers.
 	settles []Placed[Settlement]
-	// final is set when the record holds the job's end.
+	// final is set when the record includes the job's end.
 	final bool
 }
 
-// Batch is what goes to the store in one call, all or nothing.
+// Batch is written to the store in one atomic call.
 type Batch struct {
 	Writes []Write
-	// Agents is the list of agents that may have runs of the shard; nil leaves
-	// it as it is.
+	// Agents is the list of agents that may have runs of the shard; nil leaves the stored list
+	// unchanged.
 	Agents []string
 }
 
 // Empty reports whether there is nothing to write.
 func (b *Batch) Empty() bool { return len(b.Writes) == 0 && b.Agents == nil }
 
-// writeLocked notes that a job's record must be written by a time.
+// writeLocked schedules the write of a job's record by a time.
 func (s *Shard) writeLocked(fx *Effects, j *jobState, by time.Duration) {
 	if j.rec.Spec.BestEffort {
 		s.settleAllLocked(fx, j)
@@ -48,12 +48,12 @@
 	j.writeBy = min(j.writeBy, by)
 }
 
-// maxBatch bounds the records of one call; at a few hundred bytes each they
-// stay well below the platform's bound on a call.
+// maxBatch bounds the records of one call; at a few hundred bytes each they stay well below the
+// platform's limit on a call.
 const maxBatch = 500
 
-// NextBatch returns what is due, if anything is. Records that could wait are
-// taken along: the store charges by the call.
+// NextBatch returns the next batch if a write is due, and an empty one otherwise. A batch also has
+// records that could wait, because the store charges by the call.
 func (s *Shard) NextBatch(now time.Duration) Batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +92,7 @@
 	return false
 }
 
-// agentsLocked lists the agents that have, or may get, runs of this shard.
+// agentsLocked returns the agents that have, or may get, runs of this shard.
 func (s *Shard) agentsLocked() []string {
 	out := make([]string, 0, len(s.links)+len(s.waitFor))
 	for node := range s.links {
@@ -117,7 +117,7 @@
 	r := *j.rec
 	r.Tasks = slices.Clone(j.rec.Tasks)
 	if r.State.Final() {
-		// Nobody needs what an ended job consisted of, but for its results.
+		// Of an ended job only the results are needed.
 		r.Spec = job.Spec{Digest: r.Spec.Digest}
 		if !r.HasResults() {
 			r.Tasks = nil
@@ -132,7 +132,7 @@
 	return w
 }
 
-// Written takes in that the store has a batch.
+// Written handles the confirmation that the store has a batch.
 func (s *Shard) Written(now time.Duration, b Batch) Effects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,8 +188,8 @@
 	}
 }
 
-// Rejected takes in that the store has not taken a batch and never will. New
-// jobs in it are refused, which is true; the rest is written again.
+// Rejected handles the store's answer that it has not taken a batch and never will. New jobs in it
+// are refused, because they are certain never to run; the other records are written again.
 func (s *Shard) Rejected(now time.Duration, b Batch, reason string) Effects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -230,15 +230,15 @@
 	s.dirtyLocked(j, now)
 }
 
-// StoreBad notes that the store does not answer: new jobs are refused at once
-// instead of waiting with a fate that nobody knows.
+// StoreBad notes that the store does not answer. New jobs are then refused at once instead of
+// waiting with an unknown outcome.
 func (s *Shard) StoreBad() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.storeBad = true
 }
 
-// Busy reports whether somebody waits for a record.
+// Busy reports whether a client waits for a record to be written.
 func (s *Shard) Busy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
