--- a/coordination/load/ablation_test.go
+++ b/coordination/load/ablation_test.go
@@ -22,28 +22,28 @@
 var mechanisms = []variant{
 	{"all on", func(*owner.Params) {}},
 	{"late jobs yield", func(p *owner.Params) { p.LateFactor = 0 }},
-	{"late binding", func(p *owner.Params) { p.BindWithin = 0 }},
-	{"priorities", func(p *owner.Params) { p.PriorityShare = 1 }},
-	{"aim share", func(p *owner.Params) { p.AimShare = 1 }},
-	{"others' orders", func(p *owner.Params) { p.Alike = 0 }},
-	{"stale news", func(p *owner.Params) { p.StaleLoad = time.Hour }},
-	{"reserve for late jobs", func(p *owner.Params) { p.YieldReserve = 0 }},
-	{"learned times", func(p *owner.Params) { p.LearnWeight = 0 }},
-	{"first jobs wait", func(p *owner.Params) { p.Arrival = 0 }},
+	{"late binding", func(p *owner.Params) { p.MaxPlacementWait = 0 }},
+	{"priorities", func(p *owner.Params) { p.PriorityFactor = 1 }},
+	{"aim share", func(p *owner.Params) { p.ObjectiveShare = 1 }},
+	{"others' orders", func(p *owner.Params) { p.OrderOverlap = 0 }},
+	{"stale news", func(p *owner.Params) { p.StaleLoadAge = time.Hour }},
+	{"reserve for late jobs", func(p *owner.Params) { p.LateReserve = 0 }},
+	{"learned times", func(p *owner.Params) { p.RunTimeWeight = 0 }},
+	{"first jobs wait", func(p *owner.Params) { p.StartupGrace = 0 }},
 }
 
 // ways are other figures for decisions that matter; the first ones are those in use.
 var ways = []variant{
 	{"as it is", func(*owner.Params) {}},
-	{"aim share .65", func(p *owner.Params) { p.AimShare = 0.65 }},
-	{"aim share .85", func(p *owner.Params) { p.AimShare = 0.85 }},
-	{"priority share .9", func(p *owner.Params) { p.PriorityShare = 0.9 }},
-	{"priority share 1", func(p *owner.Params) { p.PriorityShare = 1 }},
+	{"aim share .65", func(p *owner.Params) { p.ObjectiveShare = 0.65 }},
+	{"aim share .85", func(p *owner.Params) { p.ObjectiveShare = 0.85 }},
+	{"priority share .9", func(p *owner.Params) { p.PriorityFactor = 0.9 }},
+	{"priority share 1", func(p *owner.Params) { p.PriorityFactor = 1 }},
 	{"late answers refused", func(p *owner.Params) { p.LateFactor = 0 }},
-	{"callers' estimates", func(p *owner.Params) { p.LearnWeight = 0 }},
-	{"pooled wait 1.4", func(p *owner.Params) { p.PooledWait = 1.4 }},
-	{"bound within 12 ms", func(p *owner.Params) { p.BindWithin = 12 * time.Millisecond }},
-	{"bound within 50 ms", func(p *owner.Params) { p.BindWithin = 50 * time.Millisecond }},
+	{"callers' estimates", func(p *owner.Params) { p.RunTimeWeight = 0 }},
+	{"pooled wait 1.4", func(p *owner.Params) { p.PooledWaitFactor = 1.4 }},
+	{"bound within 12 ms", func(p *owner.Params) { p.MaxPlacementWait = 12 * time.Millisecond }},
+	{"bound within 50 ms", func(p *owner.Params) { p.MaxPlacementWait = 50 * time.Millisecond }},
 }
 
 // days are the loads and faults of the table.
--- a/coordination/load/drain_test.go
+++ b/coordination/load/drain_test.go
@@ -28,7 +28,7 @@
 	w.after(newsOfDrain, func() {
 		for _, e := range w.entries {
 			if told && !e.down {
-				e.fleet.Drain(state)
+				e.fleet.SetDrained(state)
 			}
 		}
 	})
--- a/coordination/load/mix_test.go
+++ b/coordination/load/mix_test.go
@@ -134,7 +134,7 @@
 		if r.ended {
 			return
 		}
-		w.note(r, owner.Verdict{Outcome: owner.Unknown})
+		w.note(r, owner.Response{Outcome: owner.Unknown})
 		if e := r.entry; e != nil && !e.down {
 			e.apply(e.Abandon(w.now, r.id))
 		}
@@ -172,14 +172,14 @@
 	policy := job.Policy{Queue: c.queue, Service: service, Priority: c.priority, MaxAttempts: 3, Slack: slackFactor, Target: target, TimeLimit: shortestLimit}
 	r.entry = e
 	life := e.life
-	e.apply(e.Submit(w.now, r.id, spec, policy, func(v owner.Verdict) {
+	e.apply(e.Submit(w.now, r.id, spec, policy, func(v owner.Response) {
 		if !r.ended && e.life == life {
 			w.note(r, v)
 		}
 	}))
 }
 
-func (w *world) note(r *request, v owner.Verdict) {
+func (w *world) note(r *request, v owner.Response) {
 	if r.crashes {
 		r.ended = true
 		return // it can't be done
--- a/coordination/load/world_test.go
+++ b/coordination/load/world_test.go
@@ -31,8 +31,8 @@
 )
 
 var bounds = owner.Bounds{
-	WaitOut: 2600 * time.Millisecond, Takeover: 8600 * time.Millisecond, Retention: 4 * time.Minute,
-	LazyWrite: 700 * time.Millisecond,
+	LostLinkTimeout: 2600 * time.Millisecond, TakeoverTimeout: 8600 * time.Millisecond, Retention: 4 * time.Minute,
+	MaxWriteDelay: 700 * time.Millisecond,
 }
 
 // event is something that happens at a time.
@@ -231,19 +231,19 @@
 
 func (e *entry) apply(fx owner.Effects) {
 	for _, o := range fx.Orders {
-		a, what := e.w.agent(o.Node), o.What
+		a, what := e.w.agent(o.Node), o.Value
 		e.w.after(hop, func() { a.order(e, what) })
 	}
 	for _, s := range fx.Stops {
-		a, run := e.w.agent(s.Node), s.What
+		a, run := e.w.agent(s.Node), s.Value
 		e.w.after(hop, func() { a.apply(a.Stop(e.w.now, e.ID, e.Epoch, run)) })
 	}
 	for _, s := range fx.Settled {
-		a, what := e.w.agent(s.Node), s.What
+		a, what := e.w.agent(s.Node), s.Value
 		e.w.after(beat/2, func() { a.Settled(what.Run, what.Void) })
 	}
 	for _, r := range fx.Replies {
-		r.To(r.Verdict)
+		r.To(r.Response)
 	}
 }
 
@@ -475,8 +475,8 @@
 		if ev != nil {
 			c.entry.apply(c.entry.Event(a.w.now, a.name, *ev))
 		}
-		if c.entry.Waiting() {
-			c.entry.apply(c.entry.News(a.w.now))
+		if c.entry.HasWaitingTasks() {
+			c.entry.apply(c.entry.AgentsUpdated(a.w.now))
 		}
 	})
 }
--- a/coordination/model/client_test.go
+++ b/coordination/model/client_test.go
@@ -79,12 +79,12 @@
 		if j.once {
 			p.MaxAttempts = 1
 		}
-		fx := o.shard.Submit(c.w.now, id, j.spec, p, func(v owner.Verdict) {
+		fx := o.shard.Submit(c.w.now, id, j.spec, p, func(v owner.Response) {
 			answered = true
 			c.told(id, j, v)
 		})
 		if c.w.m == acceptedUnwritten && o.shard.Lookup(id).Outcome == owner.Absent && !o.shard.Closed() {
-			c.told(id, j, owner.Verdict{Outcome: owner.OK})
+			c.told(id, j, owner.Response{Outcome: owner.OK})
 		}
 		o.apply(fx)
 	})
@@ -104,7 +104,7 @@
 	})
 }
 
-func (c *client) told(id job.ID, j *clientJob, v owner.Verdict) {
+func (c *client) told(id job.ID, j *clientJob, v owner.Response) {
 	switch v.Outcome {
 	case owner.OK:
 		j.accepted = true
@@ -142,7 +142,7 @@
 
 func (c *client) cancel(id job.ID) {
 	if o := c.w.current(); !o.dead {
-		o.run(func() { o.apply(o.shard.Cancel(c.w.now, id, func(owner.Verdict) {})) })
+		o.run(func() { o.apply(o.shard.Cancel(c.w.now, id, func(owner.Response) {})) })
 	}
 }
 
@@ -157,7 +157,7 @@
 	c.w.after(200*time.Millisecond, c.look)
 }
 
-func (c *client) compare(id job.ID, v owner.Verdict) {
+func (c *client) compare(id job.ID, v owner.Response) {
 	j := c.jobs[id]
 	switch {
 	case v.Outcome == owner.Absent && j.accepted:
--- a/coordination/model/drain_test.go
+++ b/coordination/model/drain_test.go
@@ -59,7 +59,7 @@
 func (o *ownerModel) followDrains() {
 	o.run(func() {
 		if now := o.w.now; now >= o.drains.blind && o.drains.read(o.w, now) {
-			o.fleet.Drain(o.drains.book.State())
+			o.fleet.SetDrained(o.drains.book.State())
 		}
 	})
 	if !o.gone() {
--- a/coordination/model/owner_test.go
+++ b/coordination/model/owner_test.go
@@ -103,7 +103,7 @@
 
 func (o *ownerModel) tick() {
 	o.run(func() {
-		o.shard.Confirm(!o.cut || o.w.m == waitsUnconfirmed)
+		o.shard.SetOwnershipConfirmed(!o.cut || o.w.m == waitsUnconfirmed)
 		o.apply(o.shard.Tick(o.w.now))
 		if o.rejected && o.w.now >= o.w.store.bad {
 			o.rejected = false
@@ -163,7 +163,7 @@
 	l.up = false
 	w.after(notice, func() {
 		l.owner.run(func() {
-			l.owner.fleet.Lost(l.agent.name)
+			l.owner.fleet.LinkLost(l.agent.name)
 			l.owner.shard.LinkLost(w.now, l.agent.name, l.session)
 		})
 	})
@@ -216,7 +216,7 @@
 		}
 	}
 	for _, p := range fx.Orders {
-		order := p.What
+		order := p.Value
 		o.send(p.Node, func(l *link) func() {
 			tell := l.tellDrains()
 			return func() {
@@ -226,15 +226,15 @@
 		})
 	}
 	for _, p := range fx.Stops {
-		run := p.What
+		run := p.Value
 		o.send(p.Node, func(l *link) func() { return func() { l.agent.stop(o.shard.Epoch, run) } })
 	}
 	for _, p := range fx.Settled {
-		s := p.What
+		s := p.Value
 		o.send(p.Node, func(l *link) func() { return func() { l.agent.settled(s) } })
 	}
 	for _, r := range fx.Replies {
-		r.To(r.Verdict)
+		r.To(r.Response)
 	}
 	if fx.Write {
 		o.write()
@@ -252,7 +252,7 @@
 
 // write has the store take what is due, one call at a time.
 func (o *ownerModel) write() {
-	if o.writes || o.shard.Closed() || !o.shard.Due(o.w.now) {
+	if o.writes || o.shard.Closed() || !o.shard.WriteDue(o.w.now) {
 		return
 	}
 	b := o.shard.NextBatch(o.w.now)
@@ -327,7 +327,7 @@
 func (o *ownerModel) load(a *agentModel, l worker.Load) {
 	o.fleet.Update(o.w.now, a.name, owner.AgentLoad{
 		Service: l.Server.Service, Capacity: l.Server.Capacity, Free: l.Free, Backlog: l.Backlog,
-		Turnover: l.Turnover, Accepts: l.Accepts, Domain: a.name, Drained: l.Drained, Seen: 1 << 40,
+		Turnover: l.Turnover, Accepts: l.Accepts, Domain: a.name, Drained: l.Drained, OrdersSeen: 1 << 40,
 	})
 }
 
--- a/coordination/model/world_test.go
+++ b/coordination/model/world_test.go
@@ -302,14 +302,14 @@
 
 func (w *world) ownerBounds() owner.Bounds {
 	b := owner.Bounds{
-		WaitOut: waitOut, Takeover: waitOut + renewLimit, Retention: time.Hour,
-		LazyWrite: 700 * time.Millisecond,
+		LostLinkTimeout: waitOut, TakeoverTimeout: waitOut + renewLimit, Retention: time.Hour,
+		MaxWriteDelay: 700 * time.Millisecond,
 	}
 	if w.m == noTakeoverWait {
-		b.Takeover = 0
+		b.TakeoverTimeout = 0
 	}
 	if w.m == noWaitOut {
-		b.WaitOut = 0
+		b.LostLinkTimeout = 0
 	}
 	return b
 }
@@ -326,6 +326,6 @@
 // refusals would hide it.
 func anyLoad() owner.Params {
 	p := owner.DefaultParams()
-	p.AimShare = 100
+	p.ObjectiveShare = 100
 	return p
 }
--- a/coordination/owner/admission.go
+++ b/coordination/owner/admission.go
@@ -16,22 +16,22 @@
 	// due is when the job has to end, whether in time or late. useful is until when an answer is of
 	// use; zero: no end.
 	due, useful time.Duration
-	// yields is set for a job that is accepted although it will miss its objective.
-	yields bool
-	// wait is the predicted wait, here the part of it behind tasks that wait at this owner, and
-	// waited how long the client has waited already.
-	wait, here, waited time.Duration
-	// objective is the job's latency objective, limit the longest wait with which it is accepted as
-	// in time, and late when it would end if accepted as late.
-	objective, limit, late time.Duration
+	// late is set for a job that is accepted although it will miss its objective.
+	late bool
+	// wait is the predicted wait, localWait the part of it behind tasks that wait at this owner,
+	// and clientWaited how long the client has waited already.
+	wait, localWait, clientWaited time.Duration
+	// objective is the job's latency objective, waitLimit the longest wait with which it is
+	// accepted as in time, and lateEnd when it would end if accepted as late.
+	objective, waitLimit, lateEnd time.Duration
 }
 
-// wordLate is the Decision.Kind of a job that is accepted as late.
-const wordLate = "accepted_late"
+// kindAcceptedLate is the Decision.Kind of a job that is accepted as late.
+const kindAcceptedLate = "accepted_late"
 
-func (a *admission) word() string {
-	if a.yields {
-		return wordLate
+func (a *admission) kind() string {
+	if a.late {
+		return kindAcceptedLate
 	}
 	return "accepted"
 }
@@ -43,75 +43,75 @@
 // best-effort job that can only be late is accepted only for the capacity that jobs in time leave
 // over, and only if it then ends while its answer is of use. Everything else is refused at once.
 func (s *Shard) admitLocked(now time.Duration, spec *job.Spec, p *job.Policy) admission {
-	if s.storeBad && !spec.BestEffort {
-		return admission{reason: ReasonStore, retryAfter: time.Second}
+	if s.storeUnavailable && !spec.BestEffort {
+		return admission{reason: ReasonStoreUnavailable, retryAfter: time.Second}
 	}
 	objective := s.objective(spec, p)
-	chain := s.chain(spec, p)
-	waited := s.waitedLocked(p, spec.Patience)
-	a := admission{objective: objective, due: objective - waited, useful: s.usefulFor(spec, objective) - waited, waited: waited}
+	criticalPath := s.criticalPath(spec, p)
+	clientWaited := s.waitedLocked(p, spec.Patience)
+	a := admission{objective: objective, due: objective - clientWaited, useful: s.usefulPeriod(spec, objective) - clientWaited, clientWaited: clientWaited}
 	for i := range spec.Steps {
-		n := s.need(p, &spec.Steps[i])
-		n.Now, n.Slack = now, objective-chain
-		wait, here, ok := s.predictLocked(n, placeKeyOf(p, &spec.Steps[i]), spec.Steps[i].Count)
-		if !ok && !s.expectsAgents(now, spec) {
+		n := s.placementRequest(p, &spec.Steps[i])
+		n.Now, n.Slack = now, objective-criticalPath
+		wait, localWait, ok := s.predictWaitLocked(n, placementKeyOf(p, &spec.Steps[i]), spec.Steps[i].Count)
+		if !ok && !s.inStartupGrace(now, spec) {
 			return admission{reason: s.noWorkerReason(n), retryAfter: time.Second}
 		}
 		if wait >= a.wait {
-			a.wait, a.here = wait, here
+			a.wait, a.localWait = wait, localWait
 		}
 	}
-	a.limit = s.longestWait(objective, chain, p.Priority) - waited
-	if a.wait <= a.limit {
+	a.waitLimit = s.waitLimit(objective, criticalPath, p.Priority) - clientWaited
+	if a.wait <= a.waitLimit {
 		return a
 	}
-	idle := a.wait <= s.fleet.params.MinWait
-	if waited > 0 && a.useful < chain && idle {
+	hasCapacity := a.wait <= s.fleet.params.MinWaitLimit
+	if clientWaited > 0 && a.useful < criticalPath && hasCapacity {
 		// By LateFactor an answer is of no use any more, but the client still waits for it and
 		// there is free capacity.
 		a.useful = spec.Patience
 	}
-	if a.late = s.lateEndLocked(now, spec, p, a.wait+chain, a.useful); !s.worthLate(a.late, a.useful) {
-		a.reason, a.retryAfter = ReasonOverload, a.wait-max(a.limit, 0)
+	if a.lateEnd = s.predictLateEndLocked(now, spec, p, a.wait+criticalPath, a.useful); !s.usefulWhenLate(a.lateEnd, a.useful) {
+		a.reason, a.retryAfter = ReasonOverload, a.wait-max(a.waitLimit, 0)
 		return a
 	}
-	a.yields, a.due = true, a.useful
+	a.late, a.due = true, a.useful
 	return a
 }
 
-// predictLocked predicts how long the last of a step's tasks would wait, at this owner and at its
-// worker, and returns the part at this owner too. It assumes that the other owners have as much
+// predictWaitLocked predicts how long the last of a step's tasks would wait, at this owner and at
+// its worker, and returns the part at this owner too. It assumes that the other owners have as much
 // work waiting as this one. ok is false if no agent is eligible.
-func (s *Shard) predictLocked(n Need, where placeKey, tasks int) (wait, here time.Duration, ok bool) {
+func (s *Shard) predictWaitLocked(n PlacementRequest, key placementKey, tasks int) (wait, localWait time.Duration, ok bool) {
 	finish, ok := s.fleet.Predict(n, tasks, s.mayOrderLocked)
 	if !ok {
 		return 0, 0, false
 	}
-	if ahead := s.waiting.ahead(where, false, n.Now+n.Slack); ahead > 0 {
-		cores, times := s.fleet.Room(n, s.mayOrderLocked)
-		here = time.Duration(float64(ahead) * times / max(cores, 1))
+	if workAhead := s.waiting.workAhead(key, false, n.Now+n.Slack); workAhead > 0 {
+		cores, ratio := s.fleet.EligibleCapacity(n, s.mayOrderLocked)
+		localWait = time.Duration(float64(workAhead) * ratio / max(cores, 1))
 	}
-	return finish - n.Estimate + here, here, true
+	return finish - n.Estimate + localWait, localWait, true
 }
 
 // noWorkerReason returns the reason why no agent may have a task.
-func (s *Shard) noWorkerReason(n Need) string {
-	if s.fleet.DrainedOnly(n, s.mayOrderLocked) {
-		return ReasonDrained
+func (s *Shard) noWorkerReason(n PlacementRequest) string {
+	if s.fleet.OnlyDrainedEligible(n, s.mayOrderLocked) {
+		return ReasonDomainDrained
 	}
 	return ReasonNoWorker
 }
 
-// expectsAgents reports whether the owner of a best-effort job has started so recently that its
+// inStartupGrace reports whether the owner of a best-effort job has started so recently that its
 // links to agents may still be coming up.
-func (s *Shard) expectsAgents(now time.Duration, spec *job.Spec) bool {
-	return spec.BestEffort && now-s.opened < s.fleet.params.Arrival
+func (s *Shard) inStartupGrace(now time.Duration, spec *job.Spec) bool {
+	return spec.BestEffort && now-s.openedAt < s.fleet.params.StartupGrace
 }
 
-// usefulFor returns for how long after its submission an answer to a best-effort job is of use:
+// usefulPeriod returns for how long after its submission an answer to a best-effort job is of use:
 // LateFactor times its objective, but no longer than its client waits. Zero: no end. Recorded jobs
 // are carried out however late they are.
-func (s *Shard) usefulFor(spec *job.Spec, objective time.Duration) time.Duration {
+func (s *Shard) usefulPeriod(spec *job.Spec, objective time.Duration) time.Duration {
 	if !spec.BestEffort || s.fleet.params.LateFactor == 0 {
 		return 0
 	}
@@ -122,54 +122,54 @@
 	return useful
 }
 
-// usefulFor sets until when an answer is of use; a length of zero means no end.
-func (j *jobState) usefulFor(now, length time.Duration) {
-	j.useful = 0
+// setUsefulPeriod sets until when an answer is of use; a length of zero means no end.
+func (j *jobState) setUsefulPeriod(now, length time.Duration) {
+	j.usefulUntil = 0
 	if length > 0 {
-		j.useful = now + length
+		j.usefulUntil = now + length
 	}
 }
 
-// worthLate reports whether a late job is predicted to end early enough for its answer to be of
-// use. A job accepted in vain would hold its client, which could have sent it to another entry.
-func (s *Shard) worthLate(end, useful time.Duration) bool {
+// usefulWhenLate reports whether a late job is predicted to end early enough for its answer to be
+// of use. A job accepted in vain would hold its client, which could have sent it to another entry.
+func (s *Shard) usefulWhenLate(end, useful time.Duration) bool {
 	return useful != 0 && end <= time.Duration(s.fleet.params.LateShare*float64(useful))
 }
 
-// lateEndLocked predicts when a job would end that runs only in the capacity that jobs in time
-// leave over. It returns zero if a late answer is of no use.
-func (s *Shard) lateEndLocked(now time.Duration, spec *job.Spec, p *job.Policy, took, useful time.Duration) time.Duration {
+// predictLateEndLocked predicts when a job would end that runs only in the capacity that jobs in
+// time leave over. It returns zero if a late answer is of no use.
+func (s *Shard) predictLateEndLocked(now time.Duration, spec *job.Spec, p *job.Policy, end, useful time.Duration) time.Duration {
 	if useful == 0 {
 		return 0
 	}
-	prior := s.fleet.params.YieldPrior
-	s.waiting.measure(now, s.fleet.params.YieldMemory)
+	prior := s.fleet.params.LatePriorShare
+	s.waiting.updateLateRate(now, s.fleet.params.LateRateWindow)
 	for i := range spec.Steps {
 		st := &spec.Steps[i]
-		n := s.need(p, st)
-		cores, times := s.fleet.Room(n, s.mayOrderLocked)
-		s.waiting.expect(prior * cores / times)
-		took += s.waiting.yieldWait(s.waiting.yieldWork() + coreTime(n)*time.Duration(st.Count))
+		n := s.placementRequest(p, st)
+		cores, ratio := s.fleet.EligibleCapacity(n, s.mayOrderLocked)
+		s.waiting.setLatePrior(prior * cores / ratio)
+		end += s.waiting.lateWait(s.waiting.lateWork() + coreTime(n)*time.Duration(st.Count))
 	}
-	return took
+	return end
 }
 
 // refusalLocked returns the figures that a refusal is based on.
 func (s *Shard) refusalLocked(now time.Duration, spec *job.Spec, p *job.Policy, a *admission) *Refusal {
 	r := &Refusal{
-		Predicted: a.wait, Here: a.here, Limit: a.limit, Late: a.late, Objective: a.objective, Waited: a.waited,
+		PredictedWait: a.wait, LocalWait: a.localWait, WaitLimit: a.waitLimit, LateEnd: a.lateEnd, Objective: a.objective, ClientWaited: a.clientWaited,
 	}
 	if len(spec.Steps) > 0 {
-		r.Free, r.Cores, r.News = s.fleet.believed(now, s.need(p, &spec.Steps[0]), s.mayOrderLocked)
+		r.FreeCores, r.TotalCores, r.LoadAge = s.fleet.estimatedCapacity(now, s.placementRequest(p, &spec.Steps[0]), s.mayOrderLocked)
 	}
 	return r
 }
 
-// longestWait returns the longest predicted wait with which a job is accepted as in time.
-func (s *Shard) longestWait(objective, chain time.Duration, priority int) time.Duration {
+// waitLimit returns the longest predicted wait with which a job is accepted as in time.
+func (s *Shard) waitLimit(objective, criticalPath time.Duration, priority int) time.Duration {
 	p := &s.fleet.params
-	share := time.Duration(p.AimShare * float64(objective))
-	wait := max(share-chain, time.Duration(p.SlackShare*float64(objective-chain)))
+	share := time.Duration(p.ObjectiveShare * float64(objective))
+	wait := max(share-criticalPath, time.Duration(p.SlackShare*float64(objective-criticalPath)))
 	steps := min(max(priority, 0), p.PrioritySteps)
-	return max(time.Duration(math.Pow(p.PriorityShare, float64(steps))*float64(wait)), p.MinWait)
+	return max(time.Duration(math.Pow(p.PriorityFactor, float64(steps))*float64(wait)), p.MinWaitLimit)
 }
--- a/coordination/owner/admission_test.go
+++ b/coordination/owner/admission_test.go
@@ -14,22 +14,22 @@
 // effort is a best-effort shard with one agent, whose room the tests set.
 type effort struct {
 	*fixture
-	got map[job.ID]*Verdict
+	got map[job.ID]*Response
 }
 
 func newEffort(t *testing.T) *effort {
 	f := &fixture{is: is.New(t), fleet: NewFleet(1, DefaultParams()), now: time.Hour}
 	f.Shard = NewPrivate(f.now, 99, testBounds, f.fleet)
 	f.link("a", 1)
-	f.now += f.fleet.params.Arrival
-	return &effort{fixture: f, got: make(map[job.ID]*Verdict)}
+	f.now += f.fleet.params.StartupGrace
+	return &effort{fixture: f, got: make(map[job.ID]*Response)}
 }
 
 // room has the agent say what is free, in tasks of one core, and what waits.
 func (e *effort) room(free int, backlog time.Duration) {
 	l := AgentLoad{
 		Service: "desk", Capacity: job.Demand{CPUMillis: 16000, MemoryMB: 65536}, Accepts: true, Backlog: backlog, Placers: 1,
-		Free: job.Demand{CPUMillis: int64(free) * 1000, MemoryMB: 65536}, Seen: 1 << 30,
+		Free: job.Demand{CPUMillis: int64(free) * 1000, MemoryMB: 65536}, OrdersSeen: 1 << 30,
 	}
 	for i := range l.Ahead {
 		l.Ahead[i] = backlog
@@ -38,26 +38,26 @@
 		l.Turnover = 40 * time.Millisecond
 	}
 	e.fleet.Update(e.now, "a", l)
-	e.take(e.News(e.now))
+	e.take(e.AgentsUpdated(e.now))
 }
 
 // send submits a job of one-core tasks of 100 ms: its objective is 220 ms, and an
 // answer is of use for 660 ms.
-func (e *effort) send(id job.ID, tasks int, patience time.Duration) *Verdict {
+func (e *effort) send(id job.ID, tasks int, patience time.Duration) *Response {
 	spec := job.Spec{BestEffort: true, Patience: patience, Steps: []job.Step{{
 		Count: tasks, Demand: job.Demand{CPUMillis: 1000}, Estimate: 100 * time.Millisecond,
 	}}}
 	p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 2, Slack: 1.6, Target: 60 * time.Millisecond, TimeLimit: 1500 * time.Millisecond}
-	got := &Verdict{Outcome: Unknown}
+	got := &Response{Outcome: Unknown}
 	e.got[id] = got
-	e.take(e.Submit(e.now, id, spec, p, func(v Verdict) { *got = v }))
+	e.take(e.Submit(e.now, id, spec, p, func(v Response) { *got = v }))
 	return got
 }
 
 func (e *effort) ordered(id job.ID) int {
 	n := 0
 	for _, o := range e.orders {
-		if o.What.Run.Task.Job == id {
+		if o.Value.Run.Task.Job == id {
 			n++
 		}
 	}
@@ -143,7 +143,7 @@
 	free := full
 	free.Free, free.Turnover = job.Demand{CPUMillis: 1000, MemoryMB: 65536}, 0
 	e.fleet.Update(e.now, "b", free)
-	e.take(e.News(e.now))
+	e.take(e.AgentsUpdated(e.now))
 	e.is.Equal(len(e.orders), 1)
 	e.is.Equal(e.orders[0].Node, "b")
 }
@@ -154,7 +154,7 @@
 func TestFirstJobsWaitForTheLinks(t *testing.T) {
 	e := newEffort(t)
 	e.Shard = NewPrivate(e.now, 100, testBounds, e.fleet)
-	e.fleet.Lost("a")
+	e.fleet.LinkLost("a")
 	served := e.send("served", 1, 0)
 	e.is.Equal(served.Outcome, Unknown)
 	e.now += 100 * time.Millisecond
@@ -162,10 +162,10 @@
 	e.is.Equal(e.ordered("served"), 1)
 
 	e.Shard = NewPrivate(e.now, 101, testBounds, e.fleet)
-	e.fleet.Lost("a")
+	e.fleet.LinkLost("a")
 	e.now += 300 * time.Millisecond
 	lost := e.send("lost", 1, 0)
-	e.now += e.fleet.params.Arrival - 300*time.Millisecond
+	e.now += e.fleet.params.StartupGrace - 300*time.Millisecond
 	e.take(e.Tick(e.now))
 	e.is.Equal(lost.Outcome, Refused)
 	e.is.Equal(lost.Reason, ReasonNoWorker)
@@ -194,7 +194,7 @@
 
 	load.Free = load.Capacity
 	e.fleet.Update(e.now, "a", load)
-	e.take(e.News(e.now))
+	e.take(e.AgentsUpdated(e.now))
 	e.is.Equal(e.ordered("first"), 1)
 
 	e.fleet.Update(e.now, "a", shrunk)
@@ -243,21 +243,21 @@
 func TestBacklogOrder(t *testing.T) {
 	is := is.New(t)
 	var b backlog
-	for i, w := range []waitingTask{{latest: 5}, {latest: 3, yields: true}, {latest: 3}, {latest: 5}, {latest: 1, yields: true}} {
+	for i, w := range []waitingTask{{latestStart: 5}, {latestStart: 3, late: true}, {latestStart: 3}, {latestStart: 5}, {latestStart: 1, late: true}} {
 		w.id.Index, w.work = i, time.Second
 		b.add(w)
 	}
-	is.Equal(b.ahead(placeKey{}, false, 4), time.Second)
-	is.Equal(b.ahead(placeKey{}, true, 2), 4*time.Second)
-	is.Equal(b.ahead(placeKey{service: "other"}, true, 2), time.Duration(0))
-	is.Equal(b.yieldWork(), 2*time.Second)
+	is.Equal(b.workAhead(placementKey{}, false, 4), time.Second)
+	is.Equal(b.workAhead(placementKey{}, true, 2), 4*time.Second)
+	is.Equal(b.workAhead(placementKey{service: "other"}, true, 2), time.Duration(0))
+	is.Equal(b.lateWork(), 2*time.Second)
 	var order []int
-	b.filter(func(w *waitingTask) fate {
+	b.filter(func(w *waitingTask) filterAction {
 		order = append(order, w.id.Index)
-		return leave
+		return removeTask
 	})
 	is.Equal(order, []int{2, 0, 3, 4, 1})
-	is.Equal(len(b.places), 0)
+	is.Equal(len(b.counts), 0)
 }
 
 // Some of the waiting tasks leave, and a look ends before the last: the others stay in
@@ -266,23 +266,23 @@
 	is := is.New(t)
 	var b backlog
 	for i := range 6 {
-		b.add(waitingTask{latest: time.Duration(i), where: placeKey{service: strconv.Itoa(i % 2)}})
+		b.add(waitingTask{latestStart: time.Duration(i), key: placementKey{service: strconv.Itoa(i % 2)}})
 	}
-	b.filter(func(w *waitingTask) fate {
+	b.filter(func(w *waitingTask) filterAction {
 		switch {
-		case w.latest == 4:
-			return stop
-		case w.latest%2 == 0:
-			return leave
+		case w.latestStart == 4:
+			return stopFilter
+		case w.latestStart%2 == 0:
+			return removeTask
 		}
-		return stay
+		return keepTask
 	})
 	var left []int
 	for i := range b.tasks {
-		left = append(left, int(b.tasks[i].latest))
+		left = append(left, int(b.tasks[i].latestStart))
 	}
 	is.Equal(left, []int{1, 3, 4, 5})
-	is.Equal(b.places, map[placeKey]int{{service: "0"}: 1, {service: "1"}: 3})
+	is.Equal(b.counts, map[placementKey]int{{service: "0"}: 1, {service: "1"}: 3})
 }
 
 // Nothing of late work has left for a second while it waited, so nothing more is
@@ -290,15 +290,15 @@
 func TestRoomForLateWorkIsMeasured(t *testing.T) {
 	is := is.New(t)
 	var b backlog
-	b.expect(10)
-	b.measure(time.Hour, 500*time.Millisecond)
-	is.Equal(b.yieldWait(time.Second), 100*time.Millisecond)
-	b.add(waitingTask{yields: true, work: time.Second})
-	b.measure(time.Hour+2*time.Second, 500*time.Millisecond)
-	is.True(b.yieldWait(time.Second) > 4*time.Second)
-	b.filter(func(*waitingTask) fate { return leave })
-	b.measure(time.Hour+6*time.Second, 500*time.Millisecond)
-	is.True(b.yieldWait(time.Second) < 101*time.Millisecond)
+	b.setLatePrior(10)
+	b.updateLateRate(time.Hour, 500*time.Millisecond)
+	is.Equal(b.lateWait(time.Second), 100*time.Millisecond)
+	b.add(waitingTask{late: true, work: time.Second})
+	b.updateLateRate(time.Hour+2*time.Second, 500*time.Millisecond)
+	is.True(b.lateWait(time.Second) > 4*time.Second)
+	b.filter(func(*waitingTask) filterAction { return removeTask })
+	b.updateLateRate(time.Hour+6*time.Second, 500*time.Millisecond)
+	is.True(b.lateWait(time.Second) < 101*time.Millisecond)
 }
 
 // A client sends a job twice; only the second answer says that the job was known, so
@@ -317,7 +317,7 @@
 func TestTaskWaitsOnce(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	f.fleet.Update(f.now, "a", AgentLoad{
-		Service: "desk", Capacity: job.Demand{CPUMillis: 16000, MemoryMB: 65536}, Accepts: true, Seen: 1 << 30,
+		Service: "desk", Capacity: job.Demand{CPUMillis: 16000, MemoryMB: 65536}, Accepts: true, OrdersSeen: 1 << 30,
 		Free: job.Demand{CPUMillis: 1600, MemoryMB: 65536}, Turnover: 40 * time.Millisecond,
 	})
 	spec := steps(1, 1, 1, 1, 1, 1)
@@ -345,12 +345,12 @@
 	first := e.orders[len(e.orders)-1]
 	e.room(0, 0)
 	e.take(e.Event(e.now, first.Node, worker.Event{Shard: e.ID, Epoch: e.Epoch, State: worker.RunState{
-		Run: first.What.Run, Status: worker.Ended, End: job.NeverRan, Reason: worker.ReasonNoRoom,
+		Run: first.Value.Run, Status: worker.Ended, End: job.NeverRan, Reason: worker.ReasonNoRoom,
 	}}))
 	e.is.Equal(e.ordered("returned"), 1) // it waits here
 	e.room(4, 0)
 	e.is.Equal(e.ordered("returned"), 2)
-	e.is.True(e.orders[len(e.orders)-1].What.Run.Number > first.What.Run.Number)
+	e.is.True(e.orders[len(e.orders)-1].Value.Run.Number > first.Value.Run.Number)
 }
 
 // A job of eight tasks comes while 32 workers are full with six tasks each, of which one
@@ -360,7 +360,7 @@
 	is := is.New(t)
 	const turnover = 58 * time.Millisecond
 	f := NewFleet(1, DefaultParams())
-	need := Need{Service: "desk", Demand: job.Demand{CPUMillis: 2500}, Estimate: 60 * time.Millisecond, Slack: 50 * time.Millisecond, Now: time.Hour}
+	need := PlacementRequest{Service: "desk", Demand: job.Demand{CPUMillis: 2500}, Estimate: 60 * time.Millisecond, Slack: 50 * time.Millisecond, Now: time.Hour}
 	for i := range 32 {
 		node := strconv.Itoa(i)
 		f.Linked(node)
--- a/coordination/owner/backlog.go
+++ b/coordination/owner/backlog.go
@@ -14,25 +14,25 @@
 // Guarded by Shard.mu.
 type backlog struct {
 	tasks []waitingTask
-	// places has the number of waiting tasks by placement key.
-	places map[placeKey]int
-	// room is the recent rate at which late tasks were placed, in cores: the capacity that jobs in
-	// time leave over.
-	room float64
-	// prior is the least that room is assumed to be while no late task waits.
-	prior   float64
-	updated time.Duration
-	// left is the work of the late tasks that were placed since updated.
-	left time.Duration
+	// counts has the number of waiting tasks by placement key.
+	counts map[placementKey]int
+	// lateRate is the recent rate at which late tasks were placed, in cores: the capacity that jobs
+	// in time leave over.
+	lateRate float64
+	// latePrior is the least that lateRate is assumed to be while no late task waits.
+	latePrior float64
+	updated   time.Duration
+	// lateStarted is the work of the late tasks that were placed since updated.
+	lateStarted time.Duration
 }
 
 // waitingTask is a task that is not placed at a worker yet.
 type waitingTask struct {
-	id     job.TaskID
-	where  placeKey
-	yields bool
-	// latest is when the task must start to be in time, or, if it is late, to be of any use.
-	latest time.Duration
+	id   job.TaskID
+	key  placementKey
+	late bool
+	// latestStart is when the task must start to be in time, or, if it is late, to be of any use.
+	latestStart time.Duration
 	// work is the expected run time times the cores that it takes.
 	work time.Duration
 }
@@ -40,48 +40,48 @@
 func (b *backlog) add(t waitingTask) {
 	i, _ := slices.BinarySearchFunc(b.tasks, t, compareWaiting)
 	b.tasks = slices.Insert(b.tasks, i, t)
-	if b.places == nil {
-		b.places = make(map[placeKey]int)
+	if b.counts == nil {
+		b.counts = make(map[placementKey]int)
 	}
-	b.places[t.where]++
+	b.counts[t.key]++
 }
 
 func compareWaiting(a, b waitingTask) int {
-	if a.yields != b.yields {
-		if a.yields {
+	if a.late != b.late {
+		if a.late {
 			return 1
 		}
 		return -1
 	}
-	if a.latest <= b.latest {
+	if a.latestStart <= b.latestStart {
 		// Equal tasks stay in order of arrival.
 		return -1
 	}
 	return 1
 }
 
-// fate is what backlog.filter does with a task.
-type fate uint8
+// filterAction is what backlog.filter does with a task.
+type filterAction uint8
 
 const (
-	// stay keeps the task waiting.
-	stay fate = iota
-	// leave removes the task from the backlog.
-	leave
-	// stop keeps the task and all tasks behind it.
-	stop
+	// keepTask keeps the task waiting.
+	keepTask filterAction = iota
+	// removeTask removes the task from the backlog.
+	removeTask
+	// stopFilter keeps the task and all tasks behind it.
+	stopFilter
 )
 
-// filter calls look for each task in order until it returns stop.
-func (b *backlog) filter(look func(*waitingTask) fate) {
+// filter calls visit for each task in order until it returns stopFilter.
+func (b *backlog) filter(visit func(*waitingTask) filterAction) {
 	kept, at := 0, 0
 	for ; at < len(b.tasks); at++ {
-		verdict := look(&b.tasks[at])
-		if verdict == stop {
+		action := visit(&b.tasks[at])
+		if action == stopFilter {
 			break
 		}
-		if verdict == leave {
-			b.uncount(b.tasks[at].where)
+		if action == removeTask {
+			b.uncount(b.tasks[at].key)
 			continue
 		}
 		if kept < at {
@@ -92,84 +92,84 @@
 	b.tasks = slices.Delete(b.tasks, kept, at)
 }
 
-func (b *backlog) uncount(where placeKey) {
-	b.places[where]--
-	if b.places[where] == 0 {
-		delete(b.places, where)
+func (b *backlog) uncount(key placementKey) {
+	b.counts[key]--
+	if b.counts[key] == 0 {
+		delete(b.counts, key)
 	}
 }
 
-// placeKey has the properties that decide to which agents a task may go.
-type placeKey struct {
+// placementKey has the properties that decide to which agents a task may go.
+type placementKey struct {
 	service, label, rack, domains string
 	// suspect tasks go to agents without other suspects. They have keys of their own, so that they
 	// don't hold up tasks that may go anywhere.
 	suspect bool
 }
 
-func placeKeyOf(p *job.Policy, st *job.Step) placeKey {
-	return placeKey{service: p.Service, label: st.Label, rack: st.Rack, domains: strings.Join(st.Domains, " ")}
+func placementKeyOf(p *job.Policy, st *job.Step) placementKey {
+	return placementKey{service: p.Service, label: st.Label, rack: st.Rack, domains: strings.Join(st.Domains, " ")}
 }
 
-// ahead returns the waiting work with the same key that is placed before a task that must start by
-// latest.
-func (b *backlog) ahead(where placeKey, yields bool, latest time.Duration) time.Duration {
+// workAhead returns the waiting work with the same key that is placed before a task that must start
+// by latestStart.
+func (b *backlog) workAhead(key placementKey, late bool, latestStart time.Duration) time.Duration {
 	var work time.Duration
 	for i := range b.tasks {
 		t := &b.tasks[i]
-		if t.yields && !yields || t.yields == yields && t.latest > latest {
+		if t.late && !late || t.late == late && t.latestStart > latestStart {
 			break
 		}
-		if t.where == where {
+		if t.key == key {
 			work += t.work
 		}
 	}
 	return work
 }
 
-// yielding reports whether late tasks wait.
-func (b *backlog) yielding() bool {
+// hasLate reports whether late tasks wait.
+func (b *backlog) hasLate() bool {
 	n := len(b.tasks)
-	return n > 0 && b.tasks[n-1].yields
+	return n > 0 && b.tasks[n-1].late
 }
 
-// expect sets the rate for late tasks that is assumed while none waits, in cores.
-func (b *backlog) expect(prior float64) {
-	if b.prior == 0 {
-		b.room = prior
+// setLatePrior sets the rate for late tasks that is assumed while none waits, in cores.
+func (b *backlog) setLatePrior(prior float64) {
+	if b.latePrior == 0 {
+		b.lateRate = prior
 	}
-	b.prior = prior
+	b.latePrior = prior
 }
 
-// measure updates the rate at which late tasks are placed, as a moving average with the given time
-// constant.
-func (b *backlog) measure(now time.Duration, memory time.Duration) {
-	passed := now - b.updated
-	if passed <= 0 {
+// updateLateRate updates the rate at which late tasks are placed, as a moving average with the
+// given time constant.
+func (b *backlog) updateLateRate(now time.Duration, timeConstant time.Duration) {
+	elapsed := now - b.updated
+	if elapsed <= 0 {
 		return
 	}
-	sample := float64(b.left) / float64(passed)
-	if !b.yielding() {
-		sample = max(sample, b.prior)
+	sample := float64(b.lateStarted) / float64(elapsed)
+	if !b.hasLate() {
+		sample = max(sample, b.latePrior)
 	}
-	weight := 1 - math.Exp(-float64(passed)/float64(memory))
-	b.room += weight * (sample - b.room)
-	b.updated, b.left = now, 0
+	weight := 1 - math.Exp(-float64(elapsed)/float64(timeConstant))
+	b.lateRate += weight * (sample - b.lateRate)
+	b.updated, b.lateStarted = now, 0
 }
 
-// yieldWork returns the work of all late tasks that wait.
-func (b *backlog) yieldWork() time.Duration {
+// lateWork returns the work of all late tasks that wait.
+func (b *backlog) lateWork() time.Duration {
 	var work time.Duration
-	for i := len(b.tasks) - 1; i >= 0 && b.tasks[i].yields; i-- {
+	for i := len(b.tasks) - 1; i >= 0 && b.tasks[i].late; i-- {
 		work += b.tasks[i].work
 	}
 	return work
 }
 
-// yieldWait returns how long it takes to place an amount of late work.
-func (b *backlog) yieldWait(work time.Duration) time.Duration {
-	return time.Duration(float64(work) / max(b.room, leastRoom))
+// lateWait returns how long it takes to place an amount of late work.
+func (b *backlog) lateWait(work time.Duration) time.Duration {
+	return time.Duration(float64(work) / max(b.lateRate, minLateRate))
 }
 
-// leastRoom is the least rate, in cores, that yieldWait assumes.
-const leastRoom = 0.1
+// minLateRate is the least rate, in cores, that lateWait assumes.
+const minLateRate = 0.1
--- a/coordination/owner/bench_test.go
+++ b/coordination/owner/bench_test.go
@@ -31,7 +31,7 @@
 	}
 	for i := range jobs {
 		spec := job.Spec{BestEffort: true, Steps: []job.Step{{Count: 8, Demand: job.Demand{CPUMillis: 1200, MemoryMB: 64}, Estimate: 60 * time.Millisecond}}}
-		s.Submit(now, job.ID(fmt.Sprintf("%016x", i)), spec, job.Policy{Queue: "q", Service: "desk", Slack: 1000}, func(Verdict) {})
+		s.Submit(now, job.ID(fmt.Sprintf("%016x", i)), spec, job.Policy{Queue: "q", Service: "desk", Slack: 1000}, func(Response) {})
 	}
 	return s, f, now
 }
@@ -45,9 +45,9 @@
 	is := is.New(t)
 	const agents = 38
 	s, f, now := fullFleet(agents, 100)
-	before := f.Looks()
-	s.News(now)
-	is.Equal(f.Looks()-before, int64(agents))
+	before := f.AgentsExamined()
+	s.AgentsUpdated(now)
+	is.Equal(f.AgentsExamined()-before, int64(agents))
 }
 
 // What an entry does with each frame of an agent while all agents are full.
@@ -57,7 +57,7 @@
 			s, _, now := fullFleet(38, jobs)
 			b.ReportAllocs()
 			for b.Loop() {
-				s.News(now)
+				s.AgentsUpdated(now)
 			}
 		})
 	}
@@ -73,7 +73,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				n++
-				s.Submit(now, job.ID(fmt.Sprintf("x%015x", n)), spec, job.Policy{Queue: "q", Service: "desk", Slack: 1.6, Target: 60 * time.Millisecond}, func(Verdict) {})
+				s.Submit(now, job.ID(fmt.Sprintf("x%015x", n)), spec, job.Policy{Queue: "q", Service: "desk", Slack: 1.6, Target: 60 * time.Millisecond}, func(Response) {})
 			}
 		})
 	}
--- a/coordination/owner/crash.go
+++ b/coordination/owner/crash.go
@@ -24,64 +24,64 @@
 const FailureCrashed = "a task took the backend servers down on which it was started"
 
 const (
-	// aloneSuspect is the number of lost servers at which a task is given up if it was the only run
-	// on the last of them.
-	aloneSuspect = 2
-	// recordedFrom is the number of lost servers from which on a task is started again only after
-	// its crashes are recorded.
-	recordedFrom = 2
-	// newsOfCrash is how long a task waits for the confirmation that its last server crashed,
-	// before it is started again or given up. A crashed server is back after some seconds. A job of
-	// which nothing runs for longer would look stuck.
-	newsOfCrash = 2500 * time.Millisecond
-	// forgetCrash is the same for a task that has used up all its starts. After that, its
-	// unconfirmed crashes no longer count.
-	forgetCrash = 10 * time.Second
-	// togetherWithin and togetherOthers identify losses with a common cause: a failed rack or
-	// switch takes its servers down within the time in which their leases run out.
-	togetherWithin = 100 * time.Millisecond
-	togetherOthers = 2
-	// mostLosses bounds the losses that are remembered for that.
-	mostLosses = 64
+	// aloneCrashLimit is the number of lost servers at which a task is given up if it was the only
+	// run on the last of them.
+	aloneCrashLimit = 2
+	// minCrashesToRecord is the number of lost servers from which on a task is started again only
+	// after its crashes are recorded.
+	minCrashesToRecord = 2
+	// crashReportTimeout is how long a task waits for the confirmation that its last server
+	// crashed, before it is started again or given up. A crashed server is back after some seconds.
+	// A job of which nothing runs for longer would look stuck.
+	crashReportTimeout = 2500 * time.Millisecond
+	// unconfirmedCrashTimeout is the same for a task that has used up all its starts. After that,
+	// its unconfirmed crashes no longer count.
+	unconfirmedCrashTimeout = 10 * time.Second
+	// correlatedLossWindow and minCorrelatedLosses identify losses with a common cause: a failed
+	// rack or switch takes its servers down within the time in which their leases run out.
+	correlatedLossWindow = 100 * time.Millisecond
+	minCorrelatedLosses  = 2
+	// maxServerLosses bounds the losses that are remembered for that.
+	maxServerLosses = 64
 )
 
-// loss is the loss of a backend server that had runs of this shard.
-type loss struct {
+// serverLoss is the loss of a backend server that had runs of this shard.
+type serverLoss struct {
 	node, instance string
 	at             time.Duration
 }
 
-// lostWithServerLocked handles the end of a run that was lost with its backend server.
-func (s *Shard) lostWithServerLocked(now time.Duration, fx *Effects, j *jobState, t *task, rec *job.TaskRecord, node string, r worker.RunState) {
+// runLostWithServerLocked handles the end of a run that was lost with its backend server.
+func (s *Shard) runLostWithServerLocked(now time.Duration, fx *Effects, j *jobState, t *task, rec *job.TaskRecord, node string, r worker.RunState) {
 	t.phase = idle
 	if j.rec.State.Final() {
-		t.phase = over
+		t.phase = finished
 		return
 	}
-	s.suspectLocked(now, fx, j, t, rec, node, r)
-	s.orderLocked(now, fx, j, r.Run.Task, t)
+	s.suspectCrashLocked(now, fx, j, t, rec, node, r)
+	s.placeOrQueueLocked(now, fx, j, r.Run.Task, t)
 }
 
-// lostBeforeLocked handles the lost runs that an agent lists in its answer to a claim. An earlier
-// report of them may have been lost with the previous link or the previous owner.
-func (s *Shard) lostBeforeLocked(now time.Duration, fx *Effects, node string, lost []worker.RunState) {
+// reportedLossesLocked handles the lost runs that an agent lists in its answer to a claim. An
+// earlier report of them may have been lost with the previous link or the previous owner.
+func (s *Shard) reportedLossesLocked(now time.Duration, fx *Effects, node string, lost []worker.RunState) {
 	for _, r := range lost {
 		j := s.jobs[r.Run.Task.Job]
-		if j == nil || j.drop || j.rec.State.Final() || j.rec.Policy.Once {
+		if j == nil || j.removing || j.rec.State.Final() || j.rec.Policy.Once {
 			continue
 		}
 		t := s.taskLocked(j, r.Run.Task)
-		if t == nil || t.phase == over || r.Run.Number <= t.acquitted {
+		if t == nil || t.phase == finished || r.Run.Number <= t.clearedRun {
 			continue
 		}
-		s.suspectLocked(now, fx, j, t, j.rec.Task(r.Run.Task), node, r)
+		s.suspectCrashLocked(now, fx, j, t, j.rec.Task(r.Run.Task), node, r)
 	}
 }
 
-// suspectLocked records that a server was lost under a task, unless that is recorded already.
-func (s *Shard) suspectLocked(now time.Duration, fx *Effects, j *jobState, t *task, rec *job.TaskRecord, node string, r worker.RunState) {
+// suspectCrashLocked records that a server was lost under a task, unless that is recorded already.
+func (s *Shard) suspectCrashLocked(now time.Duration, fx *Effects, j *jobState, t *task, rec *job.TaskRecord, node string, r worker.RunState) {
 	if slices.ContainsFunc(rec.Crashes, func(c job.Crash) bool { return c.Run == r.Run.Number && c.Node == node }) {
-		s.newsOfLossLocked(now, fx, node, r)
+		s.lossUpdateLocked(now, fx, node, r)
 		return
 	}
 	if r.Loss == worker.LossCleared {
@@ -89,22 +89,22 @@
 	}
 	c := job.Crash{Run: r.Run.Number, Node: node, Instance: r.Instance, Alone: r.Suspects == 1, Confirmed: r.Loss == worker.LossConfirmed}
 	rec.Crashes = append(slices.Clone(rec.Crashes), c)
-	s.noteLossLocked(now, c.Node, c.Instance)
+	s.recordServerLossLocked(now, c.Node, c.Instance)
 	t.lostAt = now
 	s.suspects[r.Run.Task] = true
-	fx.log(Decision{What: "crash_suspected", Job: j.rec.ID, Run: r.Run, Node: c.Node, Reason: c.Instance, Count: r.Suspects})
-	by := now + s.bounds.LazyWrite
-	if len(rec.Crashes) >= recordedFrom {
+	fx.log(Decision{Kind: "crash_suspected", Job: j.rec.ID, Run: r.Run, Node: c.Node, Reason: c.Instance, Count: r.Suspects})
+	by := now + s.bounds.MaxWriteDelay
+	if len(rec.Crashes) >= minCrashesToRecord {
 		// The task has few starts left, and an owner that takes over has to know that.
 		by = now
 	}
-	s.writeLocked(fx, j, by)
+	s.scheduleWriteLocked(fx, j, by)
 }
 
-// newsOfLossLocked handles a later report on a lost server: that it crashed, or that it did not.
-func (s *Shard) newsOfLossLocked(now time.Duration, fx *Effects, node string, r worker.RunState) {
+// lossUpdateLocked handles a later report on a lost server: that it crashed, or that it did not.
+func (s *Shard) lossUpdateLocked(now time.Duration, fx *Effects, node string, r worker.RunState) {
 	j := s.jobs[r.Run.Task.Job]
-	if j == nil || j.rec.State.Final() || j.drop {
+	if j == nil || j.rec.State.Final() || j.removing {
 		return
 	}
 	t := s.taskLocked(j, r.Run.Task)
@@ -124,39 +124,39 @@
 		rec.Crashes[i].Confirmed = true
 	default:
 		rec.Crashes = slices.Delete(slices.Clone(rec.Crashes), i, i+1)
-		fx.log(Decision{What: "crash_cleared", Job: j.rec.ID, Run: r.Run, Node: node, Reason: r.Instance})
+		fx.log(Decision{Kind: "crash_cleared", Job: j.rec.ID, Run: r.Run, Node: node, Reason: r.Instance})
 	}
-	s.writeLocked(fx, j, now+s.bounds.LazyWrite)
+	s.scheduleWriteLocked(fx, j, now+s.bounds.MaxWriteDelay)
 	if t.phase == idle {
-		s.orderLocked(now, fx, j, r.Run.Task, t)
+		s.placeOrQueueLocked(now, fx, j, r.Run.Task, t)
 	}
 }
 
-// noteLossLocked remembers the loss of a server, once for each instance.
-func (s *Shard) noteLossLocked(now time.Duration, node, instance string) {
-	if slices.ContainsFunc(s.losses, func(l loss) bool { return l.node == node && l.instance == instance }) {
+// recordServerLossLocked remembers the loss of a server, once for each instance.
+func (s *Shard) recordServerLossLocked(now time.Duration, node, instance string) {
+	if slices.ContainsFunc(s.serverLosses, func(l serverLoss) bool { return l.node == node && l.instance == instance }) {
 		return
 	}
-	if len(s.losses) == mostLosses {
-		s.losses = slices.Delete(s.losses, 0, 1)
+	if len(s.serverLosses) == maxServerLosses {
+		s.serverLosses = slices.Delete(s.serverLosses, 0, 1)
 	}
-	s.losses = append(s.losses, loss{node: node, instance: instance, at: now})
+	s.serverLosses = append(s.serverLosses, serverLoss{node: node, instance: instance, at: now})
 }
 
-// togetherLocked reports whether at least togetherOthers other servers were lost at about the same
-// time as a server.
-func (s *Shard) togetherLocked(c *job.Crash) bool {
-	i := slices.IndexFunc(s.losses, func(l loss) bool { return l.node == c.Node && l.instance == c.Instance })
+// correlatedLossLocked reports whether at least minCorrelatedLosses other servers were lost at
+// about the same time as a server.
+func (s *Shard) correlatedLossLocked(c *job.Crash) bool {
+	i := slices.IndexFunc(s.serverLosses, func(l serverLoss) bool { return l.node == c.Node && l.instance == c.Instance })
 	if i < 0 {
 		return false
 	}
 	others := 0
-	for k, l := range s.losses {
-		if k != i && max(l.at-s.losses[i].at, s.losses[i].at-l.at) <= togetherWithin {
+	for k, l := range s.serverLosses {
+		if k != i && max(l.at-s.serverLosses[i].at, s.serverLosses[i].at-l.at) <= correlatedLossWindow {
 			others++
 		}
 	}
-	return others >= togetherOthers
+	return others >= minCorrelatedLosses
 }
 
 // caution returns how far a task must be kept apart from other runs.
@@ -172,12 +172,12 @@
 	return worker.NoCaution
 }
 
-// avoided returns the agents that a task goes to only when no other is eligible: the one on which
-// it failed last, and those whose servers were lost under it.
-func avoided(t *task, rec *job.TaskRecord) []string {
+// avoidedAgents returns the agents that a task goes to only when no other is eligible: the one on
+// which it failed last, and those whose servers were lost under it.
+func avoidedAgents(t *task, rec *job.TaskRecord) []string {
 	var out []string
-	if t.failed != "" {
-		out = append(out, t.failed)
+	if t.failedNode != "" {
+		out = append(out, t.failedNode)
 	}
 	for i := range rec.Crashes {
 		out = append(out, rec.Crashes[i].Node)
--- a/coordination/owner/crash_test.go
+++ b/coordination/owner/crash_test.go
@@ -18,31 +18,31 @@
 }
 
 // last is the order that was sent last.
-func (f *fixture) last() Placed[worker.Order] { return f.orders[len(f.orders)-1] }
+func (f *fixture) last() Addressed[worker.Order] { return f.orders[len(f.orders)-1] }
 
 // lost is what an agent tells of an order's run that was lost with its backend server,
 // with so many runs on it.
-func lost(o Placed[worker.Order], suspects int, what worker.Loss) worker.RunState {
+func lost(o Addressed[worker.Order], suspects int, what worker.Loss) worker.RunState {
 	return worker.RunState{
-		Run: o.What.Run, Status: worker.Ended, End: job.Lapsed, Loss: what, Instance: "i-" + o.Node, Suspects: suspects,
+		Run: o.Value.Run, Status: worker.Ended, End: job.Lapsed, Loss: what, Instance: "i-" + o.Node, Suspects: suspects,
 	}
 }
 
 // tell has the shard hear of a run.
-func (f *fixture) tell(o Placed[worker.Order], s worker.RunState) {
+func (f *fixture) tell(o Addressed[worker.Order], s worker.RunState) {
 	f.take(f.Event(f.now, o.Node, worker.Event{Shard: f.ID, Epoch: f.Epoch, State: s}))
 }
 
 // lose tells that a run was lost with its server, and has what is due written.
-func (f *fixture) lose(o Placed[worker.Order], suspects int, what worker.Loss) {
+func (f *fixture) lose(o Addressed[worker.Order], suspects int, what worker.Loss) {
 	f.tell(o, lost(o, suspects, what))
 	f.now += 200 * time.Millisecond
 	f.write()
 }
 
 // explain tells what became of that server.
-func (f *fixture) explain(o Placed[worker.Order], what worker.Loss) {
-	f.tell(o, worker.RunState{Run: o.What.Run, Status: worker.LossNews, Loss: what, Instance: "i-" + o.Node})
+func (f *fixture) explain(o Addressed[worker.Order], what worker.Loss) {
+	f.tell(o, worker.RunState{Run: o.Value.Run, Status: worker.LossNews, Loss: what, Instance: "i-" + o.Node})
 }
 
 // pass lets time pass and what is due be written.
@@ -54,7 +54,7 @@
 }
 
 // begin submits a job of one task and returns its first order.
-func (f *fixture) begin() Placed[worker.Order] {
+func (f *fixture) begin() Addressed[worker.Order] {
 	f.submit(testID, steps(1))
 	f.write()
 	return f.last()
@@ -70,7 +70,7 @@
 	o := f.begin()
 	for i, want := range cautions {
 		f.is.Equal(len(f.orders), i+1)
-		f.is.Equal(o.What.Caution, want)
+		f.is.Equal(o.Value.Caution, want)
 		f.is.True(!been[o.Node])
 		been[o.Node] = true
 		f.lose(o, 4-i, worker.LossConfirmed)
@@ -101,7 +101,7 @@
 		f.explain(o, worker.LossCleared)
 		f.write()
 		o = f.last()
-		f.is.Equal(o.What.Caution, worker.Apart) // it was not known yet
+		f.is.Equal(o.Value.Caution, worker.Apart) // it was not known yet
 		f.is.Equal(len(f.jobs[testID].rec.Tasks[0].Crashes), 0)
 	}
 	f.event(o, worker.Ended, job.Done)
@@ -117,7 +117,7 @@
 	f.lose(f.last(), 2, worker.LossConfirmed)
 	f.event(f.last(), worker.Ended, job.FailedRun)
 	f.write()
-	f.is.Equal(f.last().What.Caution, worker.NoCaution)
+	f.is.Equal(f.last().Value.Caution, worker.NoCaution)
 	f.lose(f.last(), 1, worker.LossConfirmed)
 	f.is.Equal(f.Lookup(testID).State, job.Queued+1) // it goes on
 	f.event(f.last(), worker.Ended, job.Done)
@@ -139,7 +139,7 @@
 	second := f.last()
 	f.lose(neighbour, 2, worker.LossConfirmed)
 	rerun := f.last()
-	f.is.Equal(rerun.What.Caution, worker.Apart)
+	f.is.Equal(rerun.Value.Caution, worker.Apart)
 	f.lose(second, 1, worker.LossConfirmed)
 	f.is.Equal(f.Lookup(testID).State, job.Failed)
 	f.is.Equal(len(f.jobs["00000000000000bb"].rec.Tasks[0].Crashes), 0)
@@ -150,12 +150,12 @@
 func TestRackThatIsLostGivesUpNoTask(t *testing.T) {
 	f := newCrashFixture(t)
 	f.lose(f.begin(), 4, worker.LossConfirmed)
-	for i := range togetherOthers {
-		f.noteLossLocked(f.now, "rack-"+strconv.Itoa(i), "i")
+	for i := range minCorrelatedLosses {
+		f.recordServerLossLocked(f.now, "rack-"+strconv.Itoa(i), "i")
 	}
 	f.lose(f.last(), 1, worker.LossConfirmed)
 	f.is.True(!f.Lookup(testID).State.Final())
-	f.is.Equal(f.last().What.Caution, worker.Alone)
+	f.is.Equal(f.last().Value.Caution, worker.Alone)
 }
 
 // An owner dies after two servers were lost under a task. The next one finds that in the
@@ -171,7 +171,7 @@
 	next := newCrashFixture(t, &rec)
 	next.pass(100 * time.Millisecond)
 	next.is.Equal(len(next.orders), 1)
-	next.is.Equal(next.last().What.Caution, worker.Alone)
+	next.is.Equal(next.last().Value.Caution, worker.Alone)
 	next.lose(next.last(), 1, worker.LossConfirmed)
 	next.is.Equal(next.Lookup(testID).State, job.Failed)
 	next.is.Equal(len(next.orders), 1)
@@ -206,7 +206,7 @@
 	f.is.Equal(len(f.orders), 4)
 	f.pass(6 * time.Second)
 	f.is.Equal(len(f.orders), 5) // it is as if nothing had been
-	f.is.Equal(f.last().What.Caution, worker.NoCaution)
+	f.is.Equal(f.last().Value.Caution, worker.NoCaution)
 }
 
 // A job of many tasks has one that crashes its servers. As long as it may be
@@ -217,7 +217,7 @@
 	f.submit(testID, steps(20))
 	f.write()
 	crasher := f.orders[0]
-	index := crasher.What.Run.Task.Index
+	index := crasher.Value.Run.Task.Index
 	f.lose(crasher, 9, worker.LossConfirmed)
 	f.lose(f.lastOfTask(index), 3, worker.LossConfirmed)
 	is.Equal(len(f.stops), 0)
@@ -227,9 +227,9 @@
 	is.True(len(f.stops) > 0)
 }
 
-func (f *fixture) lastOfTask(index int) Placed[worker.Order] {
+func (f *fixture) lastOfTask(index int) Addressed[worker.Order] {
 	for i := len(f.orders) - 1; ; i-- {
-		if f.orders[i].What.Run.Task.Index == index {
+		if f.orders[i].Value.Run.Task.Index == index {
 			return f.orders[i]
 		}
 	}
@@ -243,13 +243,13 @@
 	f.lose(f.begin(), 4, worker.LossConfirmed)
 	o := f.last()
 	f.LinkLost(f.now, o.Node, 1)
-	f.fleet.Lost(o.Node)
+	f.fleet.LinkLost(o.Node)
 	claim, _, fx := f.Linked(f.now, o.Node, 2)
 	f.take(fx)
 	f.take(f.Claimed(f.now, o.Node, worker.Claimed{Claim: claim, Lost: []worker.RunState{lost(o, 3, worker.LossConfirmed)}}))
 	f.write()
 	f.is.Equal(len(f.orders), 3)
-	f.is.Equal(f.last().What.Caution, worker.Alone)
+	f.is.Equal(f.last().Value.Caution, worker.Alone)
 }
 
 // A task is acquitted of one server while another run of it is at work, and that run is lost
@@ -262,7 +262,7 @@
 	second := f.last()
 	culprit := []job.Crash{{Node: first.Node, Instance: "i-" + first.Node}}
 	var fx Effects
-	f.acquitNeighboursLocked(f.now, &fx, culprit)
+	f.clearNeighboursLocked(f.now, &fx, culprit)
 	f.take(fx)
 	f.is.Equal(len(f.jobs[testID].rec.Tasks[0].Crashes), 0)
 	f.LinkLost(f.now, second.Node, 1)
@@ -300,14 +300,14 @@
 	}
 	f.lose(crashed, 4, worker.LossConfirmed)
 	capacity := job.Demand{CPUMillis: 16000, MemoryMB: 65536}
-	busy := AgentLoad{Service: "desk", Capacity: capacity, Accepts: true, Backlog: time.Second, Turnover: 100 * time.Millisecond, Seen: 1 << 20}
+	busy := AgentLoad{Service: "desk", Capacity: capacity, Accepts: true, Backlog: time.Second, Turnover: 100 * time.Millisecond, OrdersSeen: 1 << 20}
 	for i := range busy.Ahead {
 		busy.Ahead[i] = time.Second
 	}
 	f.fleet.Update(f.now, full, busy)
-	f.fleet.Update(f.now, free, AgentLoad{Service: "desk", Capacity: capacity, Free: capacity, Accepts: true, Suspects: 1, Seen: 1 << 20})
+	f.fleet.Update(f.now, free, AgentLoad{Service: "desk", Capacity: capacity, Free: capacity, Accepts: true, Suspects: 1, OrdersSeen: 1 << 20})
 	f.event(f.last(), worker.Ended, job.NeverRan) // it is handed back
-	f.is.True(f.Waiting())
+	f.is.True(f.HasWaitingTasks())
 	before := len(f.orders)
 	f.submit("00000000000000bb", steps(1))
 	f.write()
@@ -326,7 +326,7 @@
 	f.tell(second, lost(second, 3, worker.LossConfirmed)) // not recorded yet
 	f.is.Equal(len(f.orders), 2)
 	var fx Effects
-	f.acquitNeighboursLocked(f.now, &fx, []job.Crash{
+	f.clearNeighboursLocked(f.now, &fx, []job.Crash{
 		{Node: first.Node, Instance: "i-" + first.Node}, {Node: second.Node, Instance: "i-" + second.Node},
 	})
 	f.take(fx)
--- a/coordination/owner/dispatch.go
+++ b/coordination/owner/dispatch.go
@@ -21,7 +21,7 @@
 		ready := s.readyLocked(j, i)
 		for k := 0; k < j.rec.Spec.Steps[i].Count; k++ {
 			if ready && j.tasks[at].phase == idle {
-				s.orderLocked(now, fx, j, job.TaskID{Job: j.rec.ID, Step: i, Index: k}, &j.tasks[at])
+				s.placeOrQueueLocked(now, fx, j, job.TaskID{Job: j.rec.ID, Step: i, Index: k}, &j.tasks[at])
 			}
 			at++
 		}
@@ -41,7 +41,7 @@
 	return true
 }
 
-func (s *Shard) order(j *jobState, id job.TaskID, t *task, estimate time.Duration) worker.Order {
+func (s *Shard) newOrder(j *jobState, id job.TaskID, t *task, estimate time.Duration) worker.Order {
 	st := &j.rec.Spec.Steps[id.Step]
 	return worker.Order{
 		Shard: s.ID, Epoch: s.Epoch, Session: s.links[t.node].session,
@@ -65,15 +65,15 @@
 // started twice.
 func (s *Shard) mayOrderLocked(node string) bool {
 	l := s.links[node]
-	return l != nil && !l.lost && l.claimed && (s.named[node] || s.private)
+	return l != nil && !l.lost && l.claimed && (s.storedAgents[node] || s.private)
 }
 
-// Confirm sets whether the group has confirmed this owner so recently that no other process can own
-// the shard.
-func (s *Shard) Confirm(yes bool) {
+// SetOwnershipConfirmed sets whether the group has confirmed this owner so recently that no other
+// process can own the shard.
+func (s *Shard) SetOwnershipConfirmed(confirmed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unconfirmed = !yes
+	s.ownershipUnconfirmed = !confirmed
 }
 
 // Tick does the work that depends on time: it retries tasks without an agent, gives up links that
@@ -85,10 +85,10 @@
 	if s.closed {
 		return fx
 	}
-	s.waitOutLocked(now, &fx)
-	s.renewUnansweredLocked(now, &fx)
+	s.expireLostAgentsLocked(now, &fx)
+	s.renewUnansweredLinksLocked(now, &fx)
 	s.retrySuspectsLocked(now, &fx)
-	s.dropHopelessLocked(now, &fx)
+	s.giveUpUselessLocked(now, &fx)
 	s.placeWaitingLocked(now, &fx)
 	s.expireJobsLocked(now)
 	for _, id := range s.dirty {
@@ -111,16 +111,16 @@
 	return &j.tasks[at]
 }
 
-// lazyDrop is how long the removal of an expired record may wait for another write to go with.
-// Removals only free space.
-const lazyDrop = 10 * time.Second
+// maxRemovalDelay is how long the removal of an expired record may wait for another write to go
+// with. Removals only free space.
+const maxRemovalDelay = 10 * time.Second
 
 // expireJobsLocked removes jobs whose retention is over.
 func (s *Shard) expireJobsLocked(now time.Duration) {
-	for len(s.fading) > 0 && s.fading[0].at <= now {
-		id := s.fading[0].id
-		s.fading = s.fading[1:]
-		if j := s.jobs[id]; j != nil && j.rec.State.Final() && j.gone == 0 && len(j.waiters) == 0 {
+	for len(s.expiringBestEffort) > 0 && s.expiringBestEffort[0].at <= now {
+		id := s.expiringBestEffort[0].id
+		s.expiringBestEffort = s.expiringBestEffort[1:]
+		if j := s.jobs[id]; j != nil && j.rec.State.Final() && j.departed == 0 && len(j.waiters) == 0 {
 			delete(s.jobs, id)
 		}
 	}
@@ -128,8 +128,8 @@
 		id := s.expiring[0].id
 		s.expiring = s.expiring[1:]
 		if j := s.jobs[id]; j != nil {
-			j.drop = true
-			s.dirtyLocked(j, now+lazyDrop)
+			j.removing = true
+			s.markDirtyLocked(j, now+maxRemovalDelay)
 		}
 	}
 }
--- a/coordination/owner/drain_test.go
+++ b/coordination/owner/drain_test.go
@@ -26,7 +26,7 @@
 	f := newFixture(t, nil, nil, "a", "b")
 	f.inDomain("a", "jeonju")
 	f.inDomain("b", "iksan")
-	f.fleet.Drain(drained(1, "iksan"))
+	f.fleet.SetDrained(drained(1, "iksan"))
 	f.submit(testID, steps(6))
 	f.write()
 	f.is.Equal(len(f.orders), 6)
@@ -39,10 +39,10 @@
 	for _, o := range f.orders {
 		f.is.Equal(o.Node, "a")
 	}
-	f.fleet.Drain(drained(2))
+	f.fleet.SetDrained(drained(2))
 	f.submit("00000000000000ac", steps(4))
 	f.write()
-	f.is.True(slices.ContainsFunc(f.orders, func(o Placed[worker.Order]) bool { return o.Node == "b" }))
+	f.is.True(slices.ContainsFunc(f.orders, func(o Addressed[worker.Order]) bool { return o.Node == "b" }))
 }
 
 // Guards against a task that is lost, or counted as a failed attempt, when its order comes
@@ -54,9 +54,9 @@
 	f.submit(testID, steps(1))
 	f.write()
 	first := f.orders[0]
-	f.fleet.Drain(drained(1, map[string]string{"a": "jeonju", "b": "iksan"}[first.Node]))
+	f.fleet.SetDrained(drained(1, map[string]string{"a": "jeonju", "b": "iksan"}[first.Node]))
 	f.take(f.Event(f.now, first.Node, worker.Event{Shard: f.ID, Epoch: f.Epoch, State: worker.RunState{
-		Run: first.What.Run, Status: worker.Ended, End: job.NeverRan, Reason: worker.ReasonDomainDrained,
+		Run: first.Value.Run, Status: worker.Ended, End: job.NeverRan, Reason: worker.ReasonDomainDrained,
 	}}))
 	f.is.Equal(len(f.orders), 2)
 	f.is.True(f.orders[1].Node != first.Node)
@@ -69,13 +69,13 @@
 	f.inDomain("a", "jeonju")
 	f.submit(testID, steps(1, 1))
 	f.write()
-	f.fleet.Drain(drained(1, "jeonju"))
+	f.fleet.SetDrained(drained(1, "jeonju"))
 	f.event(f.orders[0], worker.Ended, job.Done)
 	f.write()
 	f.now += 20 * time.Second
 	f.take(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 1)
-	f.fleet.Drain(drained(2))
+	f.fleet.SetDrained(drained(2))
 	f.inDomain("a", "jeonju")
 	f.take(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 2)
@@ -86,11 +86,11 @@
 	f := newFixture(t, nil, nil, "a", "b")
 	f.inDomain("a", "jeonju")
 	f.inDomain("b", "iksan")
-	f.fleet.Drain(drained(1, "iksan", "jeonju"))
+	f.fleet.SetDrained(drained(1, "iksan", "jeonju"))
 	got := f.submit(testID, steps(1))
 	f.is.Equal((*got)[0].Outcome, Refused)
-	f.is.Equal((*got)[0].Reason, ReasonDrained)
-	f.fleet.Drain(drained(2))
+	f.is.Equal((*got)[0].Reason, ReasonDomainDrained)
+	f.fleet.SetDrained(drained(2))
 	spec := steps(1)
 	spec.Steps[0].Label = "none has it"
 	got = f.submit(testID, spec)
--- a/coordination/owner/events.go
+++ b/coordination/owner/events.go
@@ -21,11 +21,11 @@
 		return fx
 	}
 	if e.State.Status == worker.LossNews {
-		s.newsOfLossLocked(now, &fx, node, e.State)
+		s.lossUpdateLocked(now, &fx, node, e.State)
 		return fx
 	}
 	if e.State.Status == worker.Ended {
-		s.endLocked(now, &fx, node, e.State)
+		s.runEndedLocked(now, &fx, node, e.State)
 		return fx
 	}
 	j := s.jobs[e.State.Run.Task.Job]
@@ -34,12 +34,12 @@
 	}
 	t := s.taskLocked(j, e.State.Run.Task)
 	if t != nil && t.node == node && t.number == e.State.Run.Number && t.phase == ordered {
-		s.startedLocked(j, t)
+		s.runStartedLocked(j, t)
 	}
 	return fx
 }
 
-func (s *Shard) startedLocked(j *jobState, t *task) {
+func (s *Shard) runStartedLocked(j *jobState, t *task) {
 	t.phase = active
 	if !j.started {
 		j.started = true
@@ -53,32 +53,32 @@
 	}
 }
 
-// endLocked handles the end of a run.
-func (s *Shard) endLocked(now time.Duration, fx *Effects, node string, r worker.RunState) {
+// runEndedLocked handles the end of a run.
+func (s *Shard) runEndedLocked(now time.Duration, fx *Effects, node string, r worker.RunState) {
 	j := s.jobs[r.Run.Task.Job]
 	var t *task
-	if j != nil && !j.drop {
+	if j != nil && !j.removing {
 		t = s.taskLocked(j, r.Run.Task)
 	}
 	if t != nil && t.phase == inDoubt {
-		s.foundLocked(now, fx, node, r)
+		s.reconcileRunLocked(now, fx, node, r)
 		return
 	}
-	if t == nil || t.phase == over || t.phase == idle || t.number != r.Run.Number || t.node != node {
-		s.surplusLocked(fx, node, r, j)
+	if t == nil || t.phase == finished || t.phase == idle || t.number != r.Run.Number || t.node != node {
+		s.supersededLocked(fx, node, r, j)
 		return
 	}
-	if t.phase == stopping && j.rec.Policy.Once && s.openEndLocked(j, r.Run) != nil {
+	if t.phase == stopping && j.rec.Policy.Once && s.unrecordedEndLocked(j, r.Run) != nil {
 		// Only the record of the job's end prevents this task from being repeated, so the run's end
 		// is settled after that record is written.
-		t.phase = over
-		t.settleLater(node, Settlement{Run: r.Run})
+		t.phase = finished
+		t.settleWhenRecorded(node, Settlement{Run: r.Run})
 		return
 	}
 	if t.phase == stopping && r.End != job.Done && r.End != job.FailedRun {
 		fx.settle(node, Settlement{Run: r.Run})
 		t.phase = idle
-		s.orderAgainLocked(now, fx, j, r.Run.Task, t)
+		s.retryTaskLocked(now, fx, j, r.Run.Task, t)
 		return
 	}
 	rec := j.rec.Task(r.Run.Task)
@@ -86,90 +86,90 @@
 		rec.Checkpoint = r.Checkpoint
 	}
 	if r.End == job.Done || r.End == job.FailedRun {
-		s.acquitLocked(fx, t, rec, r.Run, node)
+		s.clearSuspectLocked(fx, t, rec, r.Run, node)
 	}
 	switch r.End {
 	case job.Done:
 		rec.Result, rec.Work = r.Result, r.Work
 		if !j.started {
-			s.startedLocked(j, t)
+			s.runStartedLocked(j, t)
 		}
-		s.fleet.Learn(j.rec.Policy.Queue, j.rec.Spec.Steps[r.Run.Task.Step].Estimate, r.Work)
-		s.doneLocked(now, fx, j, t, rec, node, r.Run)
+		s.fleet.ObserveRunTime(j.rec.Policy.Queue, j.rec.Spec.Steps[r.Run.Task.Step].Estimate, r.Work)
+		s.taskDoneLocked(now, fx, j, t, rec, node, r.Run)
 	case job.FailedRun:
 		if !j.started {
-			s.startedLocked(j, t)
+			s.runStartedLocked(j, t)
 		}
-		s.failedLocked(now, fx, j, t, rec, node, r.Run)
+		s.runFailedLocked(now, fx, j, t, rec, node, r.Run)
 	default:
 		if j.rec.Policy.Once && r.End != job.NeverRan && !j.rec.State.Final() {
-			t.phase = over
-			t.settleLater(node, Settlement{Run: r.Run})
-			s.failLocked(now, fx, j, FailureLost)
+			t.phase = finished
+			t.settleWhenRecorded(node, Settlement{Run: r.Run})
+			s.failJobLocked(now, fx, j, FailureLost)
 			return
 		}
-		fx.log(Decision{What: "run_over", Job: j.rec.ID, Run: r.Run, Node: node, Reason: r.Reason + "/" + r.End.String(), Age: now - j.accepted})
+		fx.log(Decision{Kind: "run_over", Job: j.rec.ID, Run: r.Run, Node: node, Reason: r.Reason + "/" + r.End.String(), Age: now - j.acceptedAt})
 		fx.settle(node, Settlement{Run: r.Run})
 		if r.Loss != worker.NotLost {
-			s.lostWithServerLocked(now, fx, j, t, rec, node, r)
+			s.runLostWithServerLocked(now, fx, j, t, rec, node, r)
 			return
 		}
 		t.phase = idle
 		if r.End == job.NeverRan && r.Reason != worker.ReasonNoRoom && r.Reason != worker.ReasonDomainDrained {
-			t.failed = node
+			t.failedNode = node
 		}
-		s.orderAgainLocked(now, fx, j, r.Run.Task, t)
+		s.retryTaskLocked(now, fx, j, r.Run.Task, t)
 	}
 }
 
-func (s *Shard) orderAgainLocked(now time.Duration, fx *Effects, j *jobState, id job.TaskID, t *task) {
+func (s *Shard) retryTaskLocked(now time.Duration, fx *Effects, j *jobState, id job.TaskID, t *task) {
 	if j.rec.State.Final() {
-		t.phase = over
+		t.phase = finished
 		return
 	}
-	s.orderLocked(now, fx, j, id, t)
+	s.placeOrQueueLocked(now, fx, j, id, t)
 }
 
-// doneLocked marks a task as done. The run's end is settled once that is recorded: if it were
+// taskDoneLocked marks a task as done. The run's end is settled once that is recorded: if it were
 // acknowledged without a record, the next owner would run the task again.
-func (s *Shard) doneLocked(now time.Duration, fx *Effects, j *jobState, t *task, rec *job.TaskRecord, node string, run job.RunID) {
-	t.phase = over
+func (s *Shard) taskDoneLocked(now time.Duration, fx *Effects, j *jobState, t *task, rec *job.TaskRecord, node string, run job.RunID) {
+	t.phase = finished
 	rec.Done = true
-	j.left--
-	t.settleLater(node, Settlement{Run: run})
+	j.remaining--
+	t.settleWhenRecorded(node, Settlement{Run: run})
 	if j.rec.State.Final() {
-		s.writeLocked(fx, j, now)
+		s.scheduleWriteLocked(fx, j, now)
 		return
 	}
-	if j.left == 0 {
-		s.finishLocked(now, fx, j, job.Completed)
+	if j.remaining == 0 {
+		s.finishJobLocked(now, fx, j, job.Completed)
 		return
 	}
-	s.writeLocked(fx, j, now+s.bounds.LazyWrite)
+	s.scheduleWriteLocked(fx, j, now+s.bounds.MaxWriteDelay)
 	if len(j.rec.Spec.Steps) > 1 {
 		s.dispatchLocked(now, fx, j)
 	}
 }
 
-// failedLocked counts a failed run, and fails the job after the last attempt.
-func (s *Shard) failedLocked(now time.Duration, fx *Effects, j *jobState, t *task, rec *job.TaskRecord, node string, run job.RunID) {
+// runFailedLocked counts a failed run, and fails the job after the last attempt.
+func (s *Shard) runFailedLocked(now time.Duration, fx *Effects, j *jobState, t *task, rec *job.TaskRecord, node string, run job.RunID) {
 	rec.Failures++
-	t.failed = node
-	t.settleLater(node, Settlement{Run: run})
-	fx.log(Decision{What: "run_failed", Job: j.rec.ID, Run: run, Node: node, Age: now - j.accepted})
+	t.failedNode = node
+	t.settleWhenRecorded(node, Settlement{Run: run})
+	fx.log(Decision{Kind: "run_failed", Job: j.rec.ID, Run: run, Node: node, Age: now - j.acceptedAt})
 	if j.rec.State.Final() {
-		t.phase = over
-		s.writeLocked(fx, j, now)
+		t.phase = finished
+		s.scheduleWriteLocked(fx, j, now)
 		return
 	}
 	if rec.Failures >= max(j.rec.Policy.MaxAttempts, 1) {
-		t.phase = over
-		s.failLocked(now, fx, j, failureOf(run.Task, rec))
+		t.phase = finished
+		s.failJobLocked(now, fx, j, failureOf(run.Task, rec))
 		return
 	}
 	t.phase = idle
-	s.writeLocked(fx, j, now+s.bounds.LazyWrite)
-	s.orderLocked(now, fx, j, run.Task, t)
+	s.scheduleWriteLocked(fx, j, now+s.bounds.MaxWriteDelay)
+	s.placeOrQueueLocked(now, fx, j, run.Task, t)
 }
 
 // FailureLost is the failure of a job whose run was cut off and may not be repeated.
@@ -179,16 +179,16 @@
 	return fmt.Sprintf("task %d of step %d failed %d times", id.Index, id.Step, rec.Failures)
 }
 
-func (s *Shard) failLocked(now time.Duration, fx *Effects, j *jobState, why string) {
+func (s *Shard) failJobLocked(now time.Duration, fx *Effects, j *jobState, why string) {
 	j.rec.Failure = why
-	s.finishLocked(now, fx, j, job.Failed)
+	s.finishJobLocked(now, fx, j, job.Failed)
 }
 
-// finishLocked ends a job: it stops the job's runs and schedules the write of its record. Waiting
-// clients get their replies once the record is written.
-func (s *Shard) finishLocked(now time.Duration, fx *Effects, j *jobState, state job.State) {
+// finishJobLocked ends a job: it stops the job's runs and schedules the write of its record.
+// Waiting clients get their replies once the record is written.
+func (s *Shard) finishJobLocked(now time.Duration, fx *Effects, j *jobState, state job.State) {
 	j.rec.State = state
-	j.rec.Elapsed = now - j.accepted
+	j.rec.Elapsed = now - j.acceptedAt
 	if !j.started {
 		j.started = true
 		s.unqueueLocked(j)
@@ -204,45 +204,45 @@
 				t.phase = stopping
 			case stopping:
 			default:
-				t.phase = over
+				t.phase = finished
 			}
 		}
 	}
 	if j.rec.Spec.BestEffort {
-		s.shownLocked(now, fx, j)
+		s.reportEndLocked(now, fx, j)
 		return
 	}
-	s.writeLocked(fx, j, now)
+	s.scheduleWriteLocked(fx, j, now)
 }
 
-// shownLocked makes a job's final state visible to clients and settles the ends of its runs.
-func (s *Shard) shownLocked(now time.Duration, fx *Effects, j *jobState) {
-	j.shown = j.rec.State
+// reportEndLocked makes a job's final state visible to clients and settles the ends of its runs.
+func (s *Shard) reportEndLocked(now time.Duration, fx *Effects, j *jobState) {
+	j.reportedState = j.rec.State
 	s.settleAllLocked(fx, j)
-	for _, w := range slices.Concat(j.cancels, j.watchers) {
-		fx.reply(w, endVerdict(j))
+	for _, w := range slices.Concat(j.cancelWaiters, j.watchers) {
+		fx.reply(w, jobResponse(j))
 	}
 	if j.rec.Spec.BestEffort {
 		for _, w := range j.waiters {
-			fx.reply(w, Verdict{Outcome: OK, State: j.shown})
+			fx.reply(w, Response{Outcome: OK, State: j.reportedState})
 		}
 		j.waiters = nil
 	}
-	j.cancels, j.watchers = nil, nil
-	s.expireLocked(now, j)
-	fx.log(Decision{What: "ended", Job: j.rec.ID, Reason: j.shown.String(), Age: now - j.accepted, Wait: j.due - now})
+	j.cancelWaiters, j.watchers = nil, nil
+	s.scheduleExpiryLocked(now, j)
+	fx.log(Decision{Kind: "ended", Job: j.rec.ID, Reason: j.reportedState.String(), Age: now - j.acceptedAt, Wait: j.due - now})
 }
 
-// settleLater schedules a settlement to be sent once the task's record is written.
-func (t *task) settleLater(node string, what Settlement) {
-	t.awaits = what.Run.Number
-	t.unsettled = append(t.unsettled, Placed[Settlement]{Node: node, What: what})
+// settleWhenRecorded schedules a settlement to be sent once the task's record is written.
+func (t *task) settleWhenRecorded(node string, what Settlement) {
+	t.unrecordedRun = what.Run.Number
+	t.unsettled = append(t.unsettled, Addressed[Settlement]{Node: node, Value: what})
 }
 
 func (s *Shard) settleAllLocked(fx *Effects, j *jobState) {
 	for i := range j.tasks {
 		for _, u := range j.tasks[i].unsettled {
-			fx.settle(u.Node, u.What)
+			fx.settle(u.Node, u.Value)
 		}
 		j.tasks[i].unsettled = nil
 	}
--- a/coordination/owner/fleet.go
+++ b/coordination/owner/fleet.go
@@ -35,14 +35,14 @@
 	// from all of them since the agent started.
 	Placers int
 	Orders  int64
-	// Seen is the number of orders that the agent had received on this link.
-	Seen int64
+	// OrdersSeen is the number of orders that the agent had received on this link.
+	OrdersSeen int64
 	// Suspects is the number of runs and orders there that may crash the backend server.
 	Suspects int
 }
 
-// before returns the waiting work that is started before a task with the given slack.
-func (l *AgentLoad) before(slack time.Duration) time.Duration {
+// backlogBefore returns the waiting work that is started before a task with the given slack.
+func (l *AgentLoad) backlogBefore(slack time.Duration) time.Duration {
 	if slack <= 0 {
 		return l.Backlog
 	}
@@ -54,8 +54,8 @@
 	return l.Backlog
 }
 
-// Need has what a task requires of an agent.
-type Need struct {
+// PlacementRequest has what a task requires of an agent.
+type PlacementRequest struct {
 	Service string
 	Label   string
 	Rack    string
@@ -65,9 +65,9 @@
 	Estimate time.Duration
 	// Slack is how long the task may wait and still be in time.
 	Slack time.Duration
-	// Yields is set for a task whose job can't be in time. It is placed only where there is free
+	// Late is set for a task whose job can't be in time. It is placed only where there is free
 	// capacity now.
-	Yields bool
+	Late bool
 	// Now is the time of the placement.
 	Now time.Duration
 	// Avoid has the agents on which the task failed or whose servers were lost under it. They are
@@ -92,34 +92,34 @@
 	retired map[string]bool
 	// drained has the failure domains in which nothing new is started. Guarded by mu.
 	drained drains.State
-	// ratios has, for each queue, the moving average of the measured run time over the client's
-	// estimate. Guarded by mu.
-	ratios map[string]float64
-	// crowd estimates how many orders other processes send. Guarded by mu.
-	crowd crowd
-	// looks is the number of agents that were examined to place tasks. Guarded by mu.
-	looks int64
+	// runTimeRatios has, for each queue, the moving average of the measured run time over the
+	// client's estimate. Guarded by mu.
+	runTimeRatios map[string]float64
+	// orderRatio estimates how many orders other processes send. Guarded by mu.
+	orderRatio orderRatio
+	// examined is the number of agents that were examined to place tasks. Guarded by mu.
+	examined int64
 }
 
 // agentView is the last load of an agent and the orders sent to it since. Guarded by Fleet.mu.
 type agentView struct {
-	load    AgentLoad
-	heard   time.Duration
-	sent    int64
-	pending []pendingOrder
+	load      AgentLoad
+	updatedAt time.Duration
+	sent      int64
+	pending   []pendingOrder
 	// retired agents get no new work.
 	retired bool
 	// drained is set while the agent's failure domain is drained, by what this process knows.
 	drained bool
 }
 
-func (v *agentView) book(n Need) {
+func (v *agentView) addPending(n PlacementRequest) {
 	v.sent++
 	v.pending = append(v.pending, pendingOrder{number: v.sent, at: n.Now, demand: n.Demand, work: coreTime(n), suspect: n.Caution != worker.NoCaution})
 }
 
-// unbook undoes the last book.
-func (v *agentView) unbook() {
+// removeLastPending undoes the last addPending.
+func (v *agentView) removeLastPending() {
 	v.pending = v.pending[:len(v.pending)-1]
 	v.sent--
 }
@@ -138,19 +138,20 @@
 // NewFleet returns a Fleet without agents.
 func NewFleet(remoteFactor float64, p Params) *Fleet {
 	return &Fleet{
-		remoteFactor: max(1, remoteFactor),
-		params:       p,
-		agents:       make(map[string]*agentView),
-		retired:      make(map[string]bool),
-		ratios:       make(map[string]float64),
+		remoteFactor:  max(1, remoteFactor),
+		params:        p,
+		agents:        make(map[string]*agentView),
+		retired:       make(map[string]bool),
+		runTimeRatios: make(map[string]float64),
 	}
 }
 
-// Looks returns how many agents were examined to place tasks, as a measure of what placement costs.
-func (f *Fleet) Looks() int64 {
+// AgentsExamined returns how many agents were examined to place tasks, as a measure of what
+// placement costs.
+func (f *Fleet) AgentsExamined() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.looks
+	return f.examined
 }
 
 // Linked adds an agent with a new link on which no order was sent yet.
@@ -160,30 +161,30 @@
 	f.agents[node] = &agentView{retired: f.retired[node]}
 }
 
-// Lost removes an agent whose link is gone.
-func (f *Fleet) Lost(node string) {
+// LinkLost removes an agent whose link is gone.
+func (f *Fleet) LinkLost(node string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.agents, node)
 }
 
-// Retire sets whether an agent gets no new work, because its link is about to end or its server
+// SetRetired sets whether an agent gets no new work, because its link is about to end or its server
 // serves another service. It also holds for later links to the agent.
-func (f *Fleet) Retire(node string, yes bool) {
+func (f *Fleet) SetRetired(node string, retired bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.retired, node)
-	if yes {
+	if retired {
 		f.retired[node] = true
 	}
 	if v := f.agents[node]; v != nil {
-		v.retired = yes
+		v.retired = retired
 	}
 }
 
-// Drain sets which failure domains are drained. Nothing new is placed there, even before the agents
-// of those domains report it themselves.
-func (f *Fleet) Drain(s drains.State) {
+// SetDrained sets which failure domains are drained. Nothing new is placed there, even before the
+// agents of those domains report it themselves.
+func (f *Fleet) SetDrained(s drains.State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.drained = s
@@ -198,7 +199,7 @@
 	defer f.mu.Unlock()
 	var free, all int64
 	for _, node := range nodes {
-		if v := f.agents[node]; v != nil && v.serves() {
+		if v := f.agents[node]; v != nil && v.acceptsWork() {
 			free += max(v.load.Free.CPUMillis, 0)
 			all += v.load.Capacity.CPUMillis
 		}
@@ -212,7 +213,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, v := range f.agents {
-		if v.serves() && v.load.Service == service && demand.Fits(v.load.Capacity) && (label == "" || slices.Contains(v.load.Labels, label)) {
+		if v.acceptsWork() && v.load.Service == service && demand.Fits(v.load.Capacity) && (label == "" || slices.Contains(v.load.Labels, label)) {
 			return true
 		}
 	}
@@ -227,12 +228,12 @@
 	if v == nil {
 		return
 	}
-	if v.heard > 0 && l.Orders >= v.load.Orders && l.Seen >= v.load.Seen {
-		f.crowd.note(now, l.Seen-v.load.Seen, l.Orders-v.load.Orders)
+	if v.updatedAt > 0 && l.Orders >= v.load.Orders && l.OrdersSeen >= v.load.OrdersSeen {
+		f.orderRatio.note(now, l.OrdersSeen-v.load.OrdersSeen, l.Orders-v.load.Orders)
 	}
-	v.load, v.heard = l, now
+	v.load, v.updatedAt = l, now
 	v.drained = f.drained.Has(l.Domain)
-	for len(v.pending) > 0 && v.pending[0].number <= l.Seen {
+	for len(v.pending) > 0 && v.pending[0].number <= l.OrdersSeen {
 		v.pending = v.pending[1:]
 	}
 }
@@ -241,8 +242,8 @@
 type AgentView struct {
 	Node string
 	Load AgentLoad
-	// Heard is when the load arrived, on the boot clock.
-	Heard time.Duration
+	// UpdatedAt is when the load arrived, on the boot clock.
+	UpdatedAt time.Duration
 }
 
 // Agents returns the last load of each agent that has reported one, sorted by name.
@@ -251,17 +252,17 @@
 	defer f.mu.Unlock()
 	out := make([]AgentView, 0, len(f.agents))
 	for node, v := range f.agents {
-		if v.heard > 0 {
-			out = append(out, AgentView{Node: node, Load: v.load, Heard: v.heard})
+		if v.updatedAt > 0 {
+			out = append(out, AgentView{Node: node, Load: v.load, UpdatedAt: v.updatedAt})
 		}
 	}
 	slices.SortFunc(out, func(a, b AgentView) int { return strings.Compare(a.Node, b.Node) })
 	return out
 }
 
-// Sent counts an order that Place has not chosen an agent for: the repeat of an earlier order,
-// which a new agent needs to know.
-func (f *Fleet) Sent(node string) {
+// RepeatSent counts an order that Place has not chosen an agent for: the repeat of an earlier
+// order, which a new agent needs to know.
+func (f *Fleet) RepeatSent(node string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if v := f.agents[node]; v != nil {
@@ -269,6 +270,6 @@
 	}
 }
 
-func coreTime(n Need) time.Duration {
+func coreTime(n PlacementRequest) time.Duration {
 	return n.Estimate * time.Duration(n.Demand.CPUMillis) / 1000
 }
--- a/coordination/owner/link.go
+++ b/coordination/owner/link.go
@@ -22,34 +22,34 @@
 	if l := s.links[node]; l != nil && l.session >= session {
 		return worker.Claim{}, false, fx
 	}
-	s.links[node] = &linkState{session: session, since: now}
-	if !s.named[node] && !s.private {
-		s.naming = true
+	s.links[node] = &linkState{session: session, claimSentAt: now}
+	if !s.storedAgents[node] && !s.private {
+		s.agentsDirty = true
 		fx.Write = true
 	}
 	return worker.Claim{Shard: s.ID, Epoch: s.Epoch, Session: session}, true, fx
 }
 
-// claimPatience is how long an agent may take to answer a claim. It may first have to record that
+// claimTimeout is how long an agent may take to answer a claim. It may first have to record that
 // recorded jobs run there, which takes a second with a slow store.
-const claimPatience = 3 * time.Second
+const claimTimeout = 3 * time.Second
 
-// renewUnansweredLocked requests new links in place of those on which a claim was not answered. The
-// claim may have been lost between the link and its first frame, and without an answer nothing
-// would ever be placed on that agent.
-func (s *Shard) renewUnansweredLocked(now time.Duration, fx *Effects) {
+// renewUnansweredLinksLocked requests new links in place of those on which a claim was not
+// answered. The claim may have been lost between the link and its first frame, and without an
+// answer nothing would ever be placed on that agent.
+func (s *Shard) renewUnansweredLinksLocked(now time.Duration, fx *Effects) {
 	for node, l := range s.links {
-		if l.claimed || l.lost || now-l.since < claimPatience {
+		if l.claimed || l.lost || now-l.claimSentAt < claimTimeout {
 			continue
 		}
-		l.since = now
-		fx.log(Decision{What: "claim_unanswered", Node: node})
+		l.claimSentAt = now
+		fx.log(Decision{Kind: "claim_unanswered", Node: node})
 		fx.Relinks = append(fx.Relinks, node)
 	}
 }
 
-// Lost handles the loss of a link. Runs behind it may continue; they are found when the agent is
-// linked again, or given up after Bounds.WaitOut.
+// LinkLost handles the loss of a link. Runs behind it may continue; they are found when the agent
+// is linked again, or given up after Bounds.LostLinkTimeout.
 func (s *Shard) LinkLost(now time.Duration, node string, session int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,46 +71,46 @@
 		return fx
 	}
 	if c.Refused {
-		s.refusedLocked(&fx, node, c.KnownEpoch)
+		s.claimRefusedLocked(&fx, node, c.KnownEpoch)
 		return fx
 	}
 	l.claimed = true
-	delete(s.waitFor, node)
-	s.lostBeforeLocked(now, &fx, node, c.Lost)
+	delete(s.unreconciled, node)
+	s.reportedLossesLocked(now, &fx, node, c.Lost)
 	lost := s.missingLocked(node, c.Runs)
 	// Of several runs of a task the newest counts, so it is handled first: an older run that failed
 	// would otherwise be repeated beside it.
 	slices.SortStableFunc(c.Runs, func(a, b worker.RunState) int { return cmp.Compare(b.Run.Number, a.Run.Number) })
 	for _, r := range c.Runs {
-		s.foundLocked(now, &fx, node, r)
+		s.reconcileRunLocked(now, &fx, node, r)
 	}
 	// Only runs that were missing before the loop above are lost. It may have placed new orders at
 	// this agent, which are on their way.
-	s.reclaimLocked(now, &fx, func(id job.TaskID, t *task) bool {
+	s.resetLostTasksLocked(now, &fx, func(id job.TaskID, t *task) bool {
 		return t.node == node && lost[job.RunID{Task: id, Number: t.number}]
 	})
-	s.resolveLocked(now, &fx)
+	s.resolveInDoubtLocked(now, &fx)
 	s.placeWaitingLocked(now, &fx)
 	return fx
 }
 
-// refusedLocked handles the refusal of a claim. If the agent knows a newer epoch, the shard has
-// another owner. Otherwise the agent knows a newer link of this owner, and the claim on the next
-// link, which has a higher session, will be answered. That case must not close the shard: the
+// claimRefusedLocked handles the refusal of a claim. If the agent knows a newer epoch, the shard
+// has another owner. Otherwise the agent knows a newer link of this owner, and the claim on the
+// next link, which has a higher session, will be answered. That case must not close the shard: the
 // best-effort shard of an entry, which is never assigned again, was closed this way, and the entry
 // refused every job until it restarted although it reported ready.
-func (s *Shard) refusedLocked(fx *Effects, node string, knownEpoch int64) {
+func (s *Shard) claimRefusedLocked(fx *Effects, node string, knownEpoch int64) {
 	if knownEpoch > s.Epoch {
-		fx.log(Decision{What: "claim_refused", Node: node, Reason: "newer_owner"})
+		fx.log(Decision{Kind: "claim_refused", Node: node, Reason: "newer_owner"})
 		s.closeLocked(fx)
 		return
 	}
-	fx.log(Decision{What: "claim_refused", Node: node, Reason: "newer_link"})
+	fx.log(Decision{Kind: "claim_refused", Node: node, Reason: "newer_link"})
 	fx.Relinks = append(fx.Relinks, node)
 }
 
 func (s *Shard) stopRunLocked(fx *Effects, node string, run job.RunID) {
-	fx.Stops = append(fx.Stops, Placed[job.RunID]{Node: node, What: run})
+	fx.Stops = append(fx.Stops, Addressed[job.RunID]{Node: node, Value: run})
 }
 
 // closeLocked closes the shard because another owner has taken over, and answers all waiting
@@ -121,10 +121,10 @@
 	}
 	s.closed = true
 	for _, j := range s.jobs {
-		for _, w := range slices.Concat(j.waiters, j.cancels, j.watchers) {
-			fx.reply(w, Verdict{Outcome: Unknown, Reason: ReasonTakeover})
+		for _, w := range slices.Concat(j.waiters, j.cancelWaiters, j.watchers) {
+			fx.reply(w, Response{Outcome: Unknown, Reason: ReasonOwnerChanged})
 		}
-		j.waiters, j.cancels, j.watchers = nil, nil, nil
+		j.waiters, j.cancelWaiters, j.watchers = nil, nil, nil
 	}
 }
 
--- /dev/null
+++ b/coordination/owner/lost_agents.go
@@ -0,0 +1,106 @@
+package owner
+
+import (
+	"time"
+
+	"github.com/shallotstep/shallotstep/state/job"
+)
+
+// resetLostTasksLocked makes tasks startable again whose runs are certain to be gone.
+func (s *Shard) resetLostTasksLocked(now time.Duration, fx *Effects, lost func(job.TaskID, *task) bool) {
+	for id, j := range s.jobs {
+		n := 0
+		for i := range j.rec.Spec.Steps {
+			for k := 0; k < j.rec.Spec.Steps[i].Count; k++ {
+				t := &j.tasks[n]
+				n++
+				tid := job.TaskID{Job: id, Step: i, Index: k}
+				if (t.phase == ordered || t.phase == active || t.phase == stopping) && lost(tid, t) {
+					fx.log(Decision{Kind: "run_lost", Job: id, Run: job.RunID{Task: tid, Number: t.number}, Node: t.node})
+					t.phase = idle
+					if j.rec.Policy.Once && !j.rec.State.Final() {
+						s.failJobLocked(now, fx, j, FailureLost)
+					}
+				}
+			}
+		}
+		s.dispatchLocked(now, fx, j)
+	}
+}
+
+// expireLostAgentsLocked gives up lost links, and agents of earlier owners, whose timeouts have
+// passed: the runs there were stopped or have lost their leases.
+//
+// Only an owner that the group has confirmed may do so. The next owner may have claimed the runs
+// that this one waits for and keep them at work. If this owner started their tasks again, at an
+// agent that the next one can't reach, they would run twice.
+func (s *Shard) expireLostAgentsLocked(now time.Duration, fx *Effects) {
+	if s.ownershipUnconfirmed {
+		return
+	}
+	for node, l := range s.links {
+		if !l.lost || now < l.lostAt+s.bounds.LostLinkTimeout {
+			continue
+		}
+		delete(s.links, node)
+		if _, awaited := s.unreconciled[node]; !awaited {
+			s.removeStoredAgentLocked(node)
+		}
+		s.resetLostTasksLocked(now, fx, func(_ job.TaskID, t *task) bool { return t.node == node })
+	}
+	before := len(s.unreconciled)
+	for node, until := range s.unreconciled {
+		if now >= until {
+			delete(s.unreconciled, node)
+			s.agentUnreached = true
+			if s.links[node] == nil {
+				s.removeStoredAgentLocked(node)
+			}
+			fx.log(Decision{Kind: "agent_waited_out", Node: node})
+		}
+	}
+	if len(s.unreconciled) < before {
+		s.resolveInDoubtLocked(now, fx)
+	}
+}
+
+func (s *Shard) removeStoredAgentLocked(node string) {
+	if s.storedAgents[node] && !s.private {
+		delete(s.storedAgents, node)
+		s.agentsDirty = true
+	}
+}
+
+// resolveInDoubtLocked starts the tasks in doubt once no agent is left that could have a run of
+// them.
+func (s *Shard) resolveInDoubtLocked(now time.Duration, fx *Effects) {
+	if len(s.unreconciled) > 0 {
+		return
+	}
+	for _, j := range s.jobs {
+		startable := false
+		for i := range j.tasks {
+			t := &j.tasks[i]
+			if t.phase != inDoubt || j.rec.State.Final() {
+				continue
+			}
+			if held := t.deferredEnd; held != nil {
+				t.deferredEnd = nil
+				s.reconcileRunLocked(now, fx, held.Node, held.Value)
+				continue
+			}
+			t.phase = idle
+			startable = true
+		}
+		if j.rec.State.Final() {
+			continue
+		}
+		if startable && s.agentUnreached && j.rec.Policy.Once {
+			s.failJobLocked(now, fx, j, FailureLost)
+			continue
+		}
+		if startable {
+			s.dispatchLocked(now, fx, j)
+		}
+	}
+}
--- a/coordination/owner/owner.go
+++ b/coordination/owner/owner.go
@@ -17,30 +17,30 @@
 
 // Bounds are time limits given by the platform and the settings.
 type Bounds struct {
-	// WaitOut is how long after the loss of a link the runs behind it may still be at work: the
-	// agent's limit on a silent owner, the longest lease, and a margin.
-	WaitOut time.Duration
-	// Takeover is the same for an agent that this owner has never reached. An earlier owner may
-	// have renewed the runs there for some time after the takeover.
-	Takeover time.Duration
+	// LostLinkTimeout is how long after the loss of a link the runs behind it may still be at work:
+	// the agent's limit on a silent owner, the longest lease, and a margin.
+	LostLinkTimeout time.Duration
+	// TakeoverTimeout is the same for an agent that this owner has never reached. An earlier owner
+	// may have renewed the runs there for some time after the takeover.
+	TakeoverTimeout time.Duration
 	// Retention is how long the state of an ended job can be queried.
 	Retention time.Duration
-	// LazyWrite is how long the write of a run's end may be delayed while its job continues. Most
-	// jobs end before that and need no intermediate record.
-	LazyWrite time.Duration
+	// MaxWriteDelay is how long the write of a run's end may be delayed while its job continues.
+	// Most jobs end before that and need no intermediate record.
+	MaxWriteDelay time.Duration
 }
 
 // Reply is a response and the function to pass it to.
 type Reply struct {
-	To      func(Verdict)
-	Verdict Verdict
+	To       func(Response)
+	Response Response
 }
 
 // Effects is what the caller has to do after a step of the state machine.
 type Effects struct {
-	Orders  []Placed[worker.Order]
-	Stops   []Placed[job.RunID]
-	Settled []Placed[Settlement]
+	Orders  []Addressed[worker.Order]
+	Stops   []Addressed[job.RunID]
+	Settled []Addressed[Settlement]
 	// Relinks has the agents whose links have to be replaced by new ones.
 	Relinks []string
 	Replies []Reply
@@ -49,10 +49,10 @@
 	Write bool
 }
 
-// Placed is a value to send to an agent.
-type Placed[T any] struct {
-	Node string
-	What T
+// Addressed is a value to send to an agent.
+type Addressed[T any] struct {
+	Node  string
+	Value T
 }
 
 // Settlement tells an agent that the end of a run is handled. Void means that the end is superseded
@@ -64,7 +64,7 @@
 
 // Decision is an event in the life of a job, to be logged and counted by Kind.
 type Decision struct {
-	What   string
+	Kind   string
 	Job    job.ID
 	Run    job.RunID
 	Node   string
@@ -79,21 +79,23 @@
 
 // Refusal has the figures behind the refusal of a job for lack of capacity.
 type Refusal struct {
-	// Predicted is the longest predicted wait of a step, Here the part of it behind tasks that wait
-	// at this owner, and Limit the longest wait with which the job would have been accepted as in
-	// time. Late is when it would have ended if accepted as late; zero: it can't be late.
-	Predicted, Here, Limit, Late time.Duration
-	// Objective is the job's latency objective, and Waited how long its client has waited already.
-	Objective, Waited time.Duration
-	// Free and Cores are the estimated free and total cores of the agents that may have the job,
-	// and News is the age of the oldest load among them.
-	Free, Cores float64
-	News        time.Duration
+	// PredictedWait is the longest predicted wait of a step, LocalWait the part of it behind tasks
+	// that wait at this owner, and WaitLimit the longest wait with which the job would have been
+	// accepted as in time. LateEnd is when it would have ended if accepted as late; zero: it can't
+	// be late.
+	PredictedWait, LocalWait, WaitLimit, LateEnd time.Duration
+	// Objective is the job's latency objective, and ClientWaited how long its client has waited
+	// already.
+	Objective, ClientWaited time.Duration
+	// FreeCores and TotalCores are the estimated free and total cores of the agents that may have
+	// the job, and LoadAge is the age of the oldest load among them.
+	FreeCores, TotalCores float64
+	LoadAge               time.Duration
 }
 
-// WantsRoom reports whether the linked agents had too little capacity for a job to run in time.
-func (d *Decision) WantsRoom() bool {
-	return d.Reason == ReasonOverload || d.Reason == ReasonNoWorker || d.Reason == ReasonDrained || d.What == wordLate
+// LacksCapacity reports whether the linked agents had too little capacity for a job to run in time.
+func (d *Decision) LacksCapacity() bool {
+	return d.Reason == ReasonOverload || d.Reason == ReasonNoWorker || d.Reason == ReasonDomainDrained || d.Kind == kindAcceptedLate
 }
 
 // taskPhase is the state of a task at its owner.
@@ -111,8 +113,8 @@
 	// stopping: the run was told to stop and has not ended yet. Until it ends, no other run of the
 	// task may start.
 	stopping
-	// over: the task is done, or the job has ended.
-	over
+	// finished: the task is done, or the job has ended.
+	finished
 )
 
 // task is guarded by Shard.mu.
@@ -120,51 +122,51 @@
 	phase  taskPhase
 	number int64
 	// waiting is set while the task is in the shard's backlog.
-	waiting bool
-	node    string
-	failed  string
-	// held is the end of an earlier owner's run, kept while a newer run may still be found.
-	held *Placed[worker.RunState]
-	// awaits is the number of the run whose end is not recorded yet; zero: none.
-	awaits int64
+	waiting    bool
+	node       string
+	failedNode string
+	// deferredEnd is the end of an earlier owner's run, kept while a newer run may still be found.
+	deferredEnd *Addressed[worker.RunState]
+	// unrecordedRun is the number of the run whose end is not recorded yet; zero: none.
+	unrecordedRun int64
 	// unsettled has ends that are in no write to the store yet.
-	unsettled []Placed[Settlement]
-	// recorded is the number of the newest run that the store has as lost with its server, and
+	unsettled []Addressed[Settlement]
+	// recordedCrash is the number of the newest run that the store has as lost with its server, and
 	// lostAt when the last run was lost.
-	recorded int64
-	lostAt   time.Duration
-	// acquitted is the number of a run: losses of servers under it and under earlier runs are no
+	recordedCrash int64
+	lostAt        time.Duration
+	// clearedRun is the number of a run: losses of servers under it and under earlier runs are no
 	// evidence against the task.
-	acquitted int64
+	clearedRun int64
 }
 
 // jobState is guarded by Shard.mu.
 type jobState struct {
-	rec      *job.Record
-	tasks    []task
-	left     int
-	durable  bool
-	shown    job.State
-	started  bool
-	accepted time.Duration
-	due      time.Duration
-	// useful is when an answer stops being of use; zero: never.
-	useful time.Duration
-	// yields is set for a job that can't be in time.
-	yields bool
+	rec           *job.Record
+	tasks         []task
+	remaining     int
+	durable       bool
+	reportedState job.State
+	started       bool
+	acceptedAt    time.Duration
+	due           time.Duration
+	// usefulUntil is when an answer stops being of use; zero: never.
+	usefulUntil time.Duration
+	// late is set for a job that can't be in time.
+	late bool
 	// ordered is set once an order for a task was sent.
-	ordered bool
-	waiters []func(Verdict)
-	cancels []func(Verdict)
+	ordered       bool
+	waiters       []func(Response)
+	cancelWaiters []func(Response)
 	// watchers get a reply when the job's end is recorded.
-	watchers []func(Verdict)
-	// gone counts the waiters that no longer wait for their reply.
-	gone int
+	watchers []func(Response)
+	// departed counts the waiters that no longer wait for their reply.
+	departed int
 	// writeBy is when the record must be written at the latest; zero: there are no changes to
 	// write.
 	writeBy time.Duration
-	// drop is set when the record is to be removed from the store.
-	drop bool
+	// removing is set when the record is to be removed from the store.
+	removing bool
 }
 
 // Shard is the state machine of one shard.
@@ -176,8 +178,8 @@
 	private bool
 	bounds  Bounds
 	fleet   *Fleet
-	// opened is when this owner took over the shard.
-	opened time.Duration
+	// openedAt is when this owner took over the shard.
+	openedAt time.Duration
 
 	mu sync.Mutex
 	// All fields below are guarded by mu.
@@ -191,30 +193,30 @@
 	// waiting has the tasks for which no agent has free capacity.
 	waiting backlog
 	links   map[string]*linkState
-	// waitFor has the agents of earlier owners that have not answered a claim yet, with the time
-	// after which the owner no longer waits for them.
-	waitFor map[string]time.Duration
-	// named has the agents that the store lists as possibly having runs of this shard. naming is
-	// set while that list has to be written.
-	named  map[string]bool
-	naming bool
+	// unreconciled has the agents of earlier owners that have not answered a claim yet, with the
+	// time after which the owner no longer waits for them.
+	unreconciled map[string]time.Duration
+	// storedAgents has the agents that the store lists as possibly having runs of this shard.
+	// agentsDirty is set while that list has to be written.
+	storedAgents map[string]bool
+	agentsDirty  bool
 	// expiring has the recorded jobs that have ended, in the order in which they expire.
 	expiring []expiry
-	// fading is the same for best-effort jobs.
-	fading []expiry
+	// expiringBestEffort is the same for best-effort jobs.
+	expiringBestEffort []expiry
 	// queued counts, for each queue, the jobs of which no task has started.
 	queued map[string]int
-	// suspects are the tasks under which backend servers were lost, and losses the most recent
-	// losses of servers.
-	suspects map[job.TaskID]bool
-	losses   []loss
-	// storeBad is set while records can't be written.
-	storeBad bool
-	// missed is set when an agent that earlier owners had sent orders to was never reached. What
-	// ran there is unknown.
-	missed bool
-	// unconfirmed is set while the group may have assigned the shard to another owner.
-	unconfirmed bool
+	// suspects are the tasks under which backend servers were lost, and serverLosses the most
+	// recent losses of servers.
+	suspects     map[job.TaskID]bool
+	serverLosses []serverLoss
+	// storeUnavailable is set while records can't be written.
+	storeUnavailable bool
+	// agentUnreached is set when an agent that earlier owners had sent orders to was never reached.
+	// What ran there is unknown.
+	agentUnreached bool
+	// ownershipUnconfirmed is set while the group may have assigned the shard to another owner.
+	ownershipUnconfirmed bool
 	// closed is set once another owner has taken over.
 	closed bool
 }
@@ -227,13 +229,13 @@
 // linkState is the owner's state of its link to an agent. Guarded by Shard.mu.
 type linkState struct {
 	session int64
-	// since is when the claim was sent, or when a new link was last requested because the claim was
-	// not answered.
-	since time.Duration
+	// claimSentAt is when the claim was sent, or when a new link was last requested because the
+	// claim was not answered.
+	claimSentAt time.Duration
 	// claimed is set once the agent has answered this session's claim.
 	claimed bool
-	// lostAt is when the link was lost. The owner waits until lostAt plus Bounds.WaitOut before it
-	// starts the tasks there elsewhere.
+	// lostAt is when the link was lost. The owner waits until lostAt plus Bounds.LostLinkTimeout
+	// before it starts the tasks there elsewhere.
 	lost   bool
 	lostAt time.Duration
 }
@@ -242,18 +244,18 @@
 // have sent orders to.
 func New(now time.Duration, id int, epoch int64, b Bounds, f *Fleet, records []*job.Record, mayRun []string) *Shard {
 	s := &Shard{
-		ID: id, Epoch: epoch, bounds: b, fleet: f, opened: now,
-		jobs:     make(map[job.ID]*jobState, len(records)),
-		links:    make(map[string]*linkState),
-		patience: make(map[string]*patienceLog),
-		waitFor:  make(map[string]time.Duration, len(mayRun)),
-		queued:   make(map[string]int),
-		suspects: make(map[job.TaskID]bool),
-		named:    make(map[string]bool, len(mayRun)),
+		ID: id, Epoch: epoch, bounds: b, fleet: f, openedAt: now,
+		jobs:         make(map[job.ID]*jobState, len(records)),
+		links:        make(map[string]*linkState),
+		patience:     make(map[string]*patienceLog),
+		unreconciled: make(map[string]time.Duration, len(mayRun)),
+		queued:       make(map[string]int),
+		suspects:     make(map[job.TaskID]bool),
+		storedAgents: make(map[string]bool, len(mayRun)),
 	}
 	for _, node := range mayRun {
-		s.waitFor[node] = now + b.Takeover
-		s.named[node] = true
+		s.unreconciled[node] = now + b.TakeoverTimeout
+		s.storedAgents[node] = true
 	}
 	for _, r := range records {
 		s.loadLocked(now, r)
@@ -269,10 +271,10 @@
 }
 
 func (s *Shard) loadLocked(now time.Duration, r *job.Record) {
-	j := &jobState{rec: r, durable: true, shown: r.State, accepted: now}
+	j := &jobState{rec: r, durable: true, reportedState: r.State, acceptedAt: now}
 	s.jobs[r.ID] = j
 	if r.State.Final() {
-		s.expireLocked(now, j)
+		s.scheduleExpiryLocked(now, j)
 		return
 	}
 	j.due = now + s.objective(&r.Spec, &r.Policy)
@@ -280,27 +282,27 @@
 	for i := range j.tasks {
 		j.tasks[i].phase = inDoubt
 		if i < len(r.Tasks) && r.Tasks[i].Done {
-			j.tasks[i].phase = over
+			j.tasks[i].phase = finished
 			continue
 		}
 		if i < len(r.Tasks) && len(r.Tasks[i].Crashes) > 0 {
-			j.tasks[i].recorded, j.tasks[i].lostAt = newestCrash(&r.Tasks[i]), now
+			j.tasks[i].recordedCrash, j.tasks[i].lostAt = newestCrash(&r.Tasks[i]), now
 			s.suspects[r.TaskAt(r.ID, i)] = true
 		}
-		j.left++
+		j.remaining++
 	}
 	s.queued[r.Policy.Queue]++
 }
 
-// expireLocked schedules the removal of an ended job.
-func (s *Shard) expireLocked(now time.Duration, j *jobState) {
+// scheduleExpiryLocked schedules the removal of an ended job.
+func (s *Shard) scheduleExpiryLocked(now time.Duration, j *jobState) {
 	if j.rec.Spec.BestEffort {
-		s.fading = append(s.fading, expiry{id: j.rec.ID, at: now + resendBound})
+		s.expiringBestEffort = append(s.expiringBestEffort, expiry{id: j.rec.ID, at: now + bestEffortRetention})
 		return
 	}
 	s.expiring = append(s.expiring, expiry{id: j.rec.ID, at: now + s.bounds.Retention})
 }
 
-// resendBound is how long the answer to a best-effort job is kept for a client that sends the job
-// again, which it does 1.3 s after it lost the first answer.
-const resendBound = 10 * time.Second
+// bestEffortRetention is how long the answer to a best-effort job is kept for a client that sends
+// the job again, which it does 1.3 s after it lost the first answer.
+const bestEffortRetention = 10 * time.Second
--- a/coordination/owner/owner_test.go
+++ b/coordination/owner/owner_test.go
@@ -11,8 +11,8 @@
 )
 
 var testBounds = Bounds{
-	WaitOut: 3 * time.Second, Takeover: 9 * time.Second, Retention: time.Minute,
-	LazyWrite: 700 * time.Millisecond,
+	LostLinkTimeout: 3 * time.Second, TakeoverTimeout: 9 * time.Second, Retention: time.Minute,
+	MaxWriteDelay: 700 * time.Millisecond,
 }
 
 const testID job.ID = "00000000000000aa"
@@ -23,9 +23,9 @@
 	is      *is.I
 	fleet   *Fleet
 	now     time.Duration
-	orders  []Placed[worker.Order]
-	stops   []Placed[job.RunID]
-	settled []Placed[Settlement]
+	orders  []Addressed[worker.Order]
+	stops   []Addressed[job.RunID]
+	settled []Addressed[Settlement]
 }
 
 func newFixture(t *testing.T, records []*job.Record, mayRun []string, agents ...string) *fixture {
@@ -56,7 +56,7 @@
 	f.stops = append(f.stops, fx.Stops...)
 	f.settled = append(f.settled, fx.Settled...)
 	for _, r := range fx.Replies {
-		r.To(r.Verdict)
+		r.To(r.Response)
 	}
 }
 
@@ -67,22 +67,22 @@
 	return b
 }
 
-func (f *fixture) submit(id job.ID, spec job.Spec) *[]Verdict {
-	got := &[]Verdict{}
+func (f *fixture) submit(id job.ID, spec job.Spec) *[]Response {
+	got := &[]Response{}
 	p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 2, Slack: 1.6, Target: 60 * time.Millisecond}
-	f.take(f.Submit(f.now, id, spec, p, func(v Verdict) { *got = append(*got, v) }))
+	f.take(f.Submit(f.now, id, spec, p, func(v Response) { *got = append(*got, v) }))
 	return got
 }
 
-func (f *fixture) cancel(id job.ID) *[]Verdict {
-	got := &[]Verdict{}
-	f.take(f.Cancel(f.now, id, func(v Verdict) { *got = append(*got, v) }))
+func (f *fixture) cancel(id job.ID) *[]Response {
+	got := &[]Response{}
+	f.take(f.Cancel(f.now, id, func(v Response) { *got = append(*got, v) }))
 	return got
 }
 
-func (f *fixture) event(o Placed[worker.Order], status worker.Status, end job.EndKind) {
+func (f *fixture) event(o Addressed[worker.Order], status worker.Status, end job.EndKind) {
 	f.take(f.Event(f.now, o.Node, worker.Event{
-		Shard: f.ID, Epoch: f.Epoch, State: worker.RunState{Run: o.What.Run, Status: status, End: end},
+		Shard: f.ID, Epoch: f.Epoch, State: worker.RunState{Run: o.Value.Run, Status: status, End: end},
 	}))
 }
 
@@ -134,7 +134,7 @@
 	f.take(f.Rejected(f.now, f.NextBatch(f.now), "busy"))
 	f.is.Equal((*got)[0].Outcome, Refused)
 	next := f.submit("00000000000000bb", steps(1))
-	f.is.Equal((*next)[0].Reason, ReasonStore) // refused at once while the store rejects
+	f.is.Equal((*next)[0].Reason, ReasonStoreUnavailable) // refused at once while the store rejects
 	f.write()
 	f.is.Equal(len(f.orders), 0)
 	f.is.Equal(f.Lookup(testID).Outcome, Absent)
@@ -178,7 +178,7 @@
 	f.event(f.orders[0], worker.Ended, job.Done)
 	f.is.Equal(len(f.orders), 2)
 	f.event(f.orders[1], worker.Ended, job.Done)
-	f.is.Equal(f.orders[2].What.Run.Task.Step, 1)
+	f.is.Equal(f.orders[2].Value.Run.Task.Step, 1)
 }
 
 func TestJobFailsAfterItsLastAttempt(t *testing.T) {
@@ -188,7 +188,7 @@
 	f.event(f.orders[0], worker.Ended, job.FailedRun)
 	f.is.Equal(len(f.orders), 2)
 	f.is.True(f.orders[1].Node != f.orders[0].Node) // another agent, if there is one
-	f.is.True(f.orders[1].What.Run.Number > f.orders[0].What.Run.Number)
+	f.is.True(f.orders[1].Value.Run.Number > f.orders[0].Value.Run.Number)
 	f.event(f.orders[1], worker.Ended, job.FailedRun)
 	f.is.Equal(len(f.orders), 2)
 	f.write()
@@ -230,7 +230,7 @@
 	run := job.RunID{Task: job.TaskID{Job: testID}, Number: 1}
 	f.link("b", 1, worker.RunState{Run: run, Status: worker.Running})
 	f.is.Equal(len(f.orders), 1) // the order is repeated, not a new run
-	f.is.Equal(f.orders[0].What.Run, run)
+	f.is.Equal(f.orders[0].Value.Run, run)
 	f.event(f.orders[0], worker.Ended, job.Done)
 	f.write()
 	f.is.Equal(f.Lookup(testID).State, job.Completed)
@@ -244,13 +244,13 @@
 	f := newFixture(t, []*job.Record{rec}, []string{"a", "gone"})
 	f.link("a", 1)
 	f.write()
-	f.now += testBounds.Takeover - time.Millisecond
+	f.now += testBounds.TakeoverTimeout - time.Millisecond
 	f.take(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 0)
 	f.now += time.Millisecond
 	f.take(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 1)
-	f.is.True(f.orders[0].What.Run.Number > runsPerEpoch)
+	f.is.True(f.orders[0].Value.Run.Number > runsPerEpoch)
 	f.is.Equal(f.write().Agents, []string{"a"}) // the next owner need not wait for it
 }
 
@@ -263,16 +263,16 @@
 	f.write()
 	first := f.orders[0]
 	f.LinkLost(f.now, first.Node, 1)
-	f.fleet.Lost(first.Node)
-	f.now += testBounds.WaitOut - time.Millisecond
+	f.fleet.LinkLost(first.Node)
+	f.now += testBounds.LostLinkTimeout - time.Millisecond
 	f.take(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 1)
 	f.now += time.Millisecond
 	f.take(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 2)
 	f.is.True(f.orders[1].Node != first.Node)
-	f.link(first.Node, 2, worker.RunState{Run: first.What.Run, Status: worker.Ended, End: job.Done})
-	f.is.True(f.settled[0].What.Void)
+	f.link(first.Node, 2, worker.RunState{Run: first.Value.Run, Status: worker.Ended, End: job.Done})
+	f.is.True(f.settled[0].Value.Void)
 	f.event(f.orders[1], worker.Ended, job.Done)
 	f.write()
 	f.is.Equal(f.Lookup(testID).State, job.Completed)
@@ -287,7 +287,7 @@
 	f.LinkLost(f.now, "a", 1)
 	f.link("a", 2)
 	f.is.Equal(len(f.orders), 2)
-	f.is.True(f.orders[1].What.Run.Number > f.orders[0].What.Run.Number)
+	f.is.True(f.orders[1].Value.Run.Number > f.orders[0].Value.Run.Number)
 }
 
 // Orders go only to agents that the store names: the next owner would not ask
@@ -349,8 +349,8 @@
 	spec.BestEffort = true
 	got := f.submit(testID, spec)
 	f.LinkLost(f.now, "a", 1)
-	f.fleet.Lost("a")
-	f.now += testBounds.WaitOut
+	f.fleet.LinkLost("a")
+	f.now += testBounds.LostLinkTimeout
 	f.take(f.Tick(f.now))
 	f.is.Equal(len(*got), 0)
 	f.link("b", 1)
@@ -387,13 +387,13 @@
 // submitOnce has a job accepted whose tasks may not be repeated.
 func (f *fixture) submitOnce(id job.ID, n int) {
 	p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 1, Once: true, Slack: 1, Target: time.Second}
-	f.take(f.Submit(f.now, id, steps(n), p, func(Verdict) {}))
+	f.take(f.Submit(f.now, id, steps(n), p, func(Response) {}))
 	f.write()
 }
 
-func (f *fixture) await(id job.ID) *[]Verdict {
-	got := &[]Verdict{}
-	f.take(f.Await(id, func(v Verdict) { *got = append(*got, v) }))
+func (f *fixture) await(id job.ID) *[]Response {
+	got := &[]Response{}
+	f.take(f.Await(id, func(v Response) { *got = append(*got, v) }))
 	return got
 }
 
@@ -407,14 +407,14 @@
 	})
 	spec := job.Spec{BestEffort: true, Steps: []job.Step{{Count: 1, Demand: job.Demand{CPUMillis: 1000}, Estimate: 200 * time.Millisecond}}}
 	objective := f.objective(&spec, &job.Policy{Slack: 1.6, Target: 60 * time.Millisecond})
-	urgent := f.longestWait(objective, 200*time.Millisecond, 0)
-	f.is.True(f.longestWait(objective, 200*time.Millisecond, 1) < urgent)
+	urgent := f.waitLimit(objective, 200*time.Millisecond, 0)
+	f.is.True(f.waitLimit(objective, 200*time.Millisecond, 1) < urgent)
 	for _, priority := range []int{4, 50, 1000} {
-		f.is.True(float64(f.longestWait(objective, 200*time.Millisecond, priority)) > 0.4*float64(urgent))
+		f.is.True(float64(f.waitLimit(objective, 200*time.Millisecond, priority)) > 0.4*float64(urgent))
 		p := job.Policy{Queue: "quotes", Service: "desk", Slack: 1.6, Target: 60 * time.Millisecond, Priority: priority}
 		a := f.admitLocked(f.now, &spec, &p)
 		f.is.Equal(a.reason, "")
-		f.is.True(!a.yields)
+		f.is.True(!a.late)
 	}
 }
 
@@ -427,7 +427,7 @@
 		"order":  func(f *fixture) { f.link("a", 2) },
 		"agent": func(f *fixture) {
 			f.LinkLost(f.now, "a", 1)
-			f.now += testBounds.WaitOut + time.Second
+			f.now += testBounds.LostLinkTimeout + time.Second
 			f.take(f.Tick(f.now))
 		},
 	} {
@@ -459,7 +459,7 @@
 		if answers {
 			f.link("a", 1)
 		}
-		f.now += testBounds.Takeover + time.Second
+		f.now += testBounds.TakeoverTimeout + time.Second
 		f.take(f.Tick(f.now))
 		f.write()
 		f.is.Equal(len(f.orders) == 1, answers)
@@ -477,14 +477,14 @@
 	got := f.await(testID)
 	for i, o := range f.orders {
 		f.take(f.Event(f.now, o.Node, worker.Event{Shard: f.ID, Epoch: f.Epoch, State: worker.RunState{
-			Run: o.What.Run, Status: worker.Ended, End: job.Done, Result: []string{"eye", "wig"}[i],
+			Run: o.Value.Run, Status: worker.Ended, End: job.Done, Result: []string{"eye", "wig"}[i],
 		}}))
 	}
 	f.is.Equal(len(*got), 0) // not recorded yet
 	b := f.write()
 	f.is.Equal(len(*got), 1)
 	next := newFixture(t, []*job.Record{b.Writes[0].Record}, nil, "a")
-	for _, v := range []Verdict{(*got)[0], (*next.await(testID))[0]} {
+	for _, v := range []Response{(*got)[0], (*next.await(testID))[0]} {
 		f.is.Equal(v.State, job.Completed)
 		f.is.Equal([]string{v.Tasks[0].Result, v.Tasks[1].Result}, []string{"eye", "wig"})
 	}
@@ -498,11 +498,11 @@
 	first.Digest, second.Digest = "one", "two"
 	f.submit(testID, first)
 	f.write()
-	f.is.Equal((*f.submit(testID, second))[0].Reason, ReasonConflict)
+	f.is.Equal((*f.submit(testID, second))[0].Reason, ReasonIDConflict)
 	f.event(f.orders[0], worker.Ended, job.Done)
 	b := f.write()
 	next := newFixture(t, []*job.Record{b.Writes[0].Record}, nil, "a")
-	f.is.Equal((*next.submit(testID, second))[0].Reason, ReasonConflict)
+	f.is.Equal((*next.submit(testID, second))[0].Reason, ReasonIDConflict)
 	f.is.Equal((*next.submit(testID, first))[0].State, job.Completed)
 }
 
@@ -511,11 +511,11 @@
 func TestOwnerWithoutJobsConcernsNoAgent(t *testing.T) {
 	is := is.New(t)
 	fleet := NewFleet(1, DefaultParams())
-	is.True(!New(time.Hour, 1, 3, testBounds, fleet, nil, nil).Concerns())
-	is.True(New(time.Hour, 1, 3, testBounds, fleet, nil, []string{"a"}).Concerns())
+	is.True(!New(time.Hour, 1, 3, testBounds, fleet, nil, nil).MayHaveRuns())
+	is.True(New(time.Hour, 1, 3, testBounds, fleet, nil, []string{"a"}).MayHaveRuns())
 	spec := steps(1)
 	record := job.NewRecord(testID, spec, job.Policy{Queue: "quotes", Service: "desk"}, 1)
-	is.True(New(time.Hour, 1, 3, testBounds, fleet, []*job.Record{record}, nil).Concerns())
+	is.True(New(time.Hour, 1, 3, testBounds, fleet, []*job.Record{record}, nil).MayHaveRuns())
 	record.State = job.Completed
-	is.True(!New(time.Hour, 1, 3, testBounds, fleet, []*job.Record{record}, nil).Concerns())
+	is.True(!New(time.Hour, 1, 3, testBounds, fleet, []*job.Record{record}, nil).MayHaveRuns())
 }
--- a/coordination/owner/params.go
+++ b/coordination/owner/params.go
@@ -4,22 +4,22 @@
 
 // Params are the parameters of admission, placement and queueing.
 type Params struct {
-	// AimShare is the share of its latency objective within which a job must be predicted to end to
-	// be accepted as in time. The rest is headroom for more urgent jobs that come later and are
-	// placed first.
-	AimShare float64
-	// SlackShare is the share of a job's slack that it may spend waiting even if AimShare leaves
-	// less. Otherwise no job would be accepted whose work fills most of its objective.
+	// ObjectiveShare is the share of its latency objective within which a job must be predicted to
+	// end to be accepted as in time. The rest is headroom for more urgent jobs that come later and
+	// are placed first.
+	ObjectiveShare float64
+	// SlackShare is the share of a job's slack that it may spend waiting even if ObjectiveShare
+	// leaves less. Otherwise no job would be accepted whose work fills most of its objective.
 	SlackShare float64
-	// PriorityShare is multiplied with the wait that a job may be accepted with, once for each step
-	// of its priority value, so that less urgent jobs are refused first when workers fill up.
-	PriorityShare float64
+	// PriorityFactor is multiplied with the wait that a job may be accepted with, once for each
+	// step of its priority value, so that less urgent jobs are refused first when workers fill up.
+	PriorityFactor float64
 	// PrioritySteps is the highest priority value that makes a difference, on a scale that goes to
 	// 100.
 	PrioritySteps int
-	// MinWait is the predicted wait that is allowed for any job, because predictions are not more
-	// precise than that.
-	MinWait time.Duration
+	// MinWaitLimit is the predicted wait that is allowed for any job, because predictions are not
+	// more precise than that.
+	MinWaitLimit time.Duration
 
 	// LateFactor is how long after its submission an answer is still of use, as a multiple of the
 	// job's objective. Best-effort jobs that can't be in time are accepted as late for that long;
@@ -27,61 +27,61 @@
 	LateFactor float64
 	// LateShare is the share of that time within which a late job must be predicted to end.
 	LateShare float64
-	// YieldMemory is the time constant over which the capacity left to late jobs is measured:
+	// LateRateWindow is the time constant over which the capacity left to late jobs is measured:
 	// longer than the gaps between two ends, shorter than a burst.
-	YieldMemory time.Duration
-	// YieldPrior is the share of the workers' cores that is assumed to be left to late jobs before
-	// any have waited.
-	YieldPrior float64
-	// YieldReserve is the share of a worker that has to stay free beside a task of a late job. It
-	// is kept for jobs that can still be in time and may come at any moment.
-	YieldReserve float64
-	// Arrival is how long after its start an owner of best-effort jobs accepts jobs although no
-	// worker is known, because its links are about to come up.
-	Arrival time.Duration
+	LateRateWindow time.Duration
+	// LatePriorShare is the share of the workers' cores that is assumed to be left to late jobs
+	// before any have waited.
+	LatePriorShare float64
+	// LateReserve is the share of a worker that has to stay free beside a task of a late job. It is
+	// kept for jobs that can still be in time and may come at any moment.
+	LateReserve float64
+	// StartupGrace is how long after its start an owner of best-effort jobs accepts jobs although
+	// no worker is known, because its links are about to come up.
+	StartupGrace time.Duration
 
-	// BindWithin is the longest predicted wait at a worker with which a task is sent there. Tasks
-	// that would wait longer stay at their owner and go to the first worker with free capacity. It
-	// covers the round trip to the agent. Zero places every task at once.
-	BindWithin time.Duration
-	// PooledWait bounds the predicted wait of a job's tasks: it is multiplied with the time in
-	// which all workers together free as many cores as the tasks need.
-	PooledWait float64
-	// StaleLoad is the age of a worker's load from which on the worker is chosen only when no other
-	// has free capacity. A healthy agent reports in half that time.
-	StaleLoad time.Duration
-	// Alike is the share of other processes' orders that is assumed to have gone where this
+	// MaxPlacementWait is the longest predicted wait at a worker with which a task is sent there.
+	// Tasks that would wait longer stay at their owner and go to the first worker with free
+	// capacity. It covers the round trip to the agent. Zero places every task at once.
+	MaxPlacementWait time.Duration
+	// PooledWaitFactor bounds the predicted wait of a job's tasks: it is multiplied with the time
+	// in which all workers together free as many cores as the tasks need.
+	PooledWaitFactor float64
+	// StaleLoadAge is the age of a worker's load from which on the worker is chosen only when no
+	// other has free capacity. A healthy agent reports in half that time.
+	StaleLoadAge time.Duration
+	// OrderOverlap is the share of other processes' orders that is assumed to have gone where this
 	// process's own orders went since a worker's last load.
-	Alike float64
-	// CrashesApart, CrashesAlone and CrashesMost are the numbers of backend servers lost under a
+	OrderOverlap float64
+	// CrashesApart, CrashesAlone and MaxCrashes are the numbers of backend servers lost under a
 	// task from which on it runs apart from other suspects, runs alone, and is given up.
-	CrashesApart, CrashesAlone, CrashesMost int
-	// LearnWeight is the weight of a new measurement in the moving average of a queue's run times;
-	// about the last fifty measurements count.
-	LearnWeight float64
+	CrashesApart, CrashesAlone, MaxCrashes int
+	// RunTimeWeight is the weight of a new measurement in the moving average of a queue's run
+	// times; about the last fifty measurements count.
+	RunTimeWeight float64
 }
 
 // DefaultParams returns the parameters that are used in production.
 func DefaultParams() Params {
 	return Params{
-		AimShare:      0.75,
-		SlackShare:    0.35,
-		PriorityShare: 0.95,
-		PrioritySteps: 4,
-		MinWait:       10 * time.Millisecond,
-		LateFactor:    3,
-		LateShare:     0.95,
-		YieldMemory:   500 * time.Millisecond,
-		YieldPrior:    0.25,
-		YieldReserve:  0.1,
-		Arrival:       600 * time.Millisecond,
-		BindWithin:    25 * time.Millisecond,
-		PooledWait:    2,
-		StaleLoad:     320 * time.Millisecond,
-		Alike:         0.4,
-		CrashesApart:  1,
-		CrashesAlone:  2,
-		CrashesMost:   3,
-		LearnWeight:   0.02,
+		ObjectiveShare:   0.75,
+		SlackShare:       0.35,
+		PriorityFactor:   0.95,
+		PrioritySteps:    4,
+		MinWaitLimit:     10 * time.Millisecond,
+		LateFactor:       3,
+		LateShare:        0.95,
+		LateRateWindow:   500 * time.Millisecond,
+		LatePriorShare:   0.25,
+		LateReserve:      0.1,
+		StartupGrace:     600 * time.Millisecond,
+		MaxPlacementWait: 25 * time.Millisecond,
+		PooledWaitFactor: 2,
+		StaleLoadAge:     320 * time.Millisecond,
+		OrderOverlap:     0.4,
+		CrashesApart:     1,
+		CrashesAlone:     2,
+		MaxCrashes:       3,
+		RunTimeWeight:    0.02,
 	}
 }
--- a/coordination/owner/placement.go
+++ b/coordination/owner/placement.go
@@ -13,8 +13,8 @@
 	node   string
 	wait   time.Duration
 	finish time.Duration
-	// left is the share of the agent's cores that stays free beside the task.
-	left float64
+	// freeShare is the share of the agent's cores that stays free beside the task.
+	freeShare float64
 	// rank is finish plus the penalties of agents that are to be chosen after others.
 	rank time.Duration
 }
@@ -22,35 +22,35 @@
 // Place chooses the agent on which a task ends first, among those that may have it, and adds the
 // task to the agent's pending orders. It returns false if no agent is eligible, or if the task
 // would have to wait too long at the chosen one.
-func (f *Fleet) Place(n Need, may func(node string) bool) (string, bool) {
+func (f *Fleet) Place(n PlacementRequest, allowed func(node string) bool) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p, ok := f.chooseLocked(n, may)
-	if !ok || !f.bindsLocked(n, p) {
+	p, ok := f.chooseLocked(n, allowed)
+	if !ok || !f.withinWaitLimitLocked(n, p) {
 		return "", false
 	}
-	f.agents[p.node].book(n)
+	f.agents[p.node].addPending(n)
 	return p.node, true
 }
 
-// bindsLocked reports whether a task may be sent to an agent with the predicted wait. A late task
-// is sent only where there is free capacity now.
-func (f *Fleet) bindsLocked(n Need, p placement) bool {
-	if n.Yields {
-		return p.wait == 0 && p.left >= f.params.YieldReserve
+// withinWaitLimitLocked reports whether a task may be sent to an agent with the predicted wait. A
+// late task is sent only where there is free capacity now.
+func (f *Fleet) withinWaitLimitLocked(n PlacementRequest, p placement) bool {
+	if n.Late {
+		return p.wait == 0 && p.freeShare >= f.params.LateReserve
 	}
-	return f.params.BindWithin == 0 || p.wait <= f.params.BindWithin
+	return f.params.MaxPlacementWait == 0 || p.wait <= f.params.MaxPlacementWait
 }
 
-// Room returns the total cores of the agents that may have a task, and the ratio of all work placed
-// there to that of this process.
-func (f *Fleet) Room(n Need, may func(node string) bool) (cores, times float64) {
+// EligibleCapacity returns the total cores of the agents that may have a task, and the ratio of all
+// work placed there to that of this process.
+func (f *Fleet) EligibleCapacity(n PlacementRequest, allowed func(node string) bool) (cores, ratio float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.looks += int64(len(f.agents))
+	f.examined += int64(len(f.agents))
 	placers, sum, agents := 0, 0, 0
 	for node, v := range f.agents {
-		if v.takes(n) && may(node) {
+		if v.canTake(n) && allowed(node) {
 			cores += float64(v.load.Capacity.CPUMillis) / 1000
 			placers = max(placers, v.load.Placers)
 			sum += v.load.Placers
@@ -60,29 +60,29 @@
 	// The agent with the most placers decides, scaled down if this process sends more orders than
 	// the others.
 	mean := max(float64(sum)/float64(max(agents, 1)), 1)
-	return cores, float64(max(placers, 1)) * min(f.crowd.of(int(mean))/mean, 1)
+	return cores, float64(max(placers, 1)) * min(f.orderRatio.estimate(int(mean))/mean, 1)
 }
 
-// believed returns the estimated free cores, less pending orders, and the total cores of the agents
-// that may have a task, and the age of the oldest load among them.
-func (f *Fleet) believed(now time.Duration, n Need, may func(node string) bool) (free, cores float64, news time.Duration) {
+// estimatedCapacity returns the estimated free cores, less pending orders, and the total cores of
+// the agents that may have a task, and the age of the oldest load among them.
+func (f *Fleet) estimatedCapacity(now time.Duration, n PlacementRequest, allowed func(node string) bool) (free, cores float64, loadAge time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for node, v := range f.agents {
-		if !v.takes(n) || !may(node) {
+		if !v.canTake(n) || !allowed(node) {
 			continue
 		}
-		taken, _ := v.booked(now, f.params.Alike*f.crowd.of(v.load.Placers))
-		free += float64(max(v.load.Free.CPUMillis-taken.CPUMillis, 0)) / 1000
+		pending, _ := v.pendingDemand(now, f.params.OrderOverlap*f.orderRatio.estimate(v.load.Placers))
+		free += float64(max(v.load.Free.CPUMillis-pending.CPUMillis, 0)) / 1000
 		cores += float64(v.load.Capacity.CPUMillis) / 1000
-		news = max(news, now-v.heard)
+		loadAge = max(loadAge, now-v.updatedAt)
 	}
-	return free, cores, news
+	return free, cores, loadAge
 }
 
 // Predict estimates when the last of a number of equal tasks would end if they were placed now. It
 // returns false if no agent is eligible.
-func (f *Fleet) Predict(n Need, tasks int, may func(node string) bool) (time.Duration, bool) {
+func (f *Fleet) Predict(n PlacementRequest, tasks int, allowed func(node string) bool) (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var finish time.Duration
@@ -92,44 +92,44 @@
 	var queued int64
 	var rate float64
 	var ahead time.Duration
-	booked := make([]*agentView, 0, tasks)
+	placed := make([]*agentView, 0, tasks)
 	defer func() {
-		for _, v := range booked {
-			v.unbook()
+		for _, v := range placed {
+			v.removeLastPending()
 		}
 	}()
 	for range tasks {
-		p, ok := f.chooseLocked(n, may)
+		p, ok := f.chooseLocked(n, allowed)
 		if !ok {
 			return 0, false
 		}
 		if p.wait > 0 && queued == 0 {
-			rate, ahead = f.turnoverLocked(n, may)
+			rate, ahead = f.coreReleaseRateLocked(n, allowed)
 		}
 		if p.wait > 0 && rate > 0 {
 			queued += n.Demand.CPUMillis
-			pooled := ahead + time.Duration(f.params.PooledWait*float64(queued)/rate*float64(time.Second))
+			pooled := ahead + time.Duration(f.params.PooledWaitFactor*float64(queued)/rate*float64(time.Second))
 			p.finish -= max(0, p.wait-pooled)
 		}
 		finish = max(finish, p.finish)
 		v := f.agents[p.node]
-		v.book(n)
-		booked = append(booked, v)
+		v.addPending(n)
+		placed = append(placed, v)
 	}
 	return finish, true
 }
 
-// turnoverLocked returns the rate at which cores become free at the agents that may have a task, in
-// thousandths of a core per second, and how long the work that waits there before the task keeps
-// all of them busy.
-func (f *Fleet) turnoverLocked(n Need, may func(node string) bool) (rate float64, ahead time.Duration) {
+// coreReleaseRateLocked returns the rate at which cores become free at the agents that may have a
+// task, in thousandths of a core per second, and how long the work that waits there before the task
+// keeps all of them busy.
+func (f *Fleet) coreReleaseRateLocked(n PlacementRequest, allowed func(node string) bool) (rate float64, ahead time.Duration) {
 	var before time.Duration
 	var cores int64
 	for node, v := range f.agents {
-		if !v.takes(n) || !may(node) {
+		if !v.canTake(n) || !allowed(node) {
 			continue
 		}
-		before += v.load.before(n.Slack)
+		before += v.load.backlogBefore(n.Slack)
 		cores += v.load.Capacity.CPUMillis
 		if v.load.Turnover <= 0 {
 			continue
@@ -141,21 +141,21 @@
 	return rate, before * 1000 / time.Duration(max(cores, 1))
 }
 
-func (f *Fleet) chooseLocked(n Need, may func(node string) bool) (placement, bool) {
-	f.looks += int64(len(f.agents))
+func (f *Fleet) chooseLocked(n PlacementRequest, allowed func(node string) bool) (placement, bool) {
+	f.examined += int64(len(f.agents))
 	var best placement
 	found := false
 	for node, v := range f.agents {
-		if !v.takes(n) || !may(node) {
+		if !v.canTake(n) || !allowed(node) {
 			continue
 		}
 		p := f.predictLocked(node, v, n)
 		p.rank = p.finish
-		if slices.Contains(n.Avoid, node) || n.Now-v.heard > f.params.StaleLoad {
-			p.rank += lastResort
+		if slices.Contains(n.Avoid, node) || n.Now-v.updatedAt > f.params.StaleLoadAge {
+			p.rank += lastResortPenalty
 		}
 		if n.Caution != worker.NoCaution {
-			p.rank += v.company(p)
+			p.rank += v.isolationPenalty(p)
 		}
 		if !found || p.rank < best.rank {
 			best, found = p, true
@@ -164,39 +164,41 @@
 	return best, found
 }
 
-// fullestRank ranks an agent whose worker is full behind an empty one, for a suspect. It is more
-// than the waits differ by, so that a suspect runs beside as few others as possible.
-const fullestRank = time.Second
+// fullAgentPenalty ranks an agent whose worker is full behind an empty one, for a suspect. It is
+// more than the waits differ by, so that a suspect runs beside as few others as possible.
+const fullAgentPenalty = time.Second
 
-// company ranks an agent for a suspect by how much runs there and whether that includes other
-// suspects. An agent with other suspects is still better than one whose server was lost under the
-// task.
-func (v *agentView) company(p placement) time.Duration {
-	rank := time.Duration((1 - p.left) * float64(fullestRank))
+// isolationPenalty ranks an agent for a suspect by how much runs there and whether that includes
+// other suspects. An agent with other suspects is still better than one whose server was lost under
+// the task.
+func (v *agentView) isolationPenalty(p placement) time.Duration {
+	rank := time.Duration((1 - p.freeShare) * float64(fullAgentPenalty))
 	if v.load.Suspects > 0 || slices.ContainsFunc(v.pending, func(o pendingOrder) bool { return o.suspect }) {
-		rank += lastResort / 2
+		rank += lastResortPenalty / 2
 	}
 	return rank
 }
 
-// takes reports whether an agent may get a task now.
-func (v *agentView) takes(n Need) bool { return v.serves() && !v.retired && v.load.eligible(n) }
+// canTake reports whether an agent may get a task now.
+func (v *agentView) canTake(n PlacementRequest) bool {
+	return v.acceptsWork() && !v.retired && v.load.eligible(n)
+}
 
-// serves reports whether new work may be started at an agent.
-func (v *agentView) serves() bool { return v.load.Accepts && !v.drained }
+// acceptsWork reports whether new work may be started at an agent.
+func (v *agentView) acceptsWork() bool { return v.load.Accepts && !v.drained }
 
 // isDrained reports whether an agent's failure domain is drained, by what this process or the agent
 // knows.
 func (v *agentView) isDrained() bool { return v.drained || v.load.Drained }
 
-// DrainedOnly reports whether agents could have a task but all of them are in drained failure
-// domains.
-func (f *Fleet) DrainedOnly(n Need, may func(node string) bool) bool {
+// OnlyDrainedEligible reports whether agents could have a task but all of them are in drained
+// failure domains.
+func (f *Fleet) OnlyDrainedEligible(n PlacementRequest, allowed func(node string) bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	found := false
 	for node, v := range f.agents {
-		if v.takes(n) && may(node) {
+		if v.canTake(n) && allowed(node) {
 			return false
 		}
 		found = found || v.isDrained() && v.load.eligible(n)
@@ -204,7 +206,7 @@
 	return found
 }
 
-func (l *AgentLoad) eligible(n Need) bool {
+func (l *AgentLoad) eligible(n PlacementRequest) bool {
 	if l.Service != n.Service || !n.Demand.Fits(l.Capacity) {
 		return false
 	}
@@ -214,12 +216,12 @@
 	return n.Label == "" || slices.Contains(l.Labels, n.Label)
 }
 
-// lastResort ranks an agent behind all others.
-const lastResort = time.Minute
+// lastResortPenalty ranks an agent behind all others.
+const lastResortPenalty = time.Minute
 
 // predictLocked estimates how long a task would wait at an agent and when it would end.
-func (f *Fleet) predictLocked(node string, v *agentView, n Need) placement {
-	taken, work := v.booked(n.Now, f.params.Alike*f.crowd.of(v.load.Placers))
+func (f *Fleet) predictLocked(node string, v *agentView, n PlacementRequest) placement {
+	taken, work := v.pendingDemand(n.Now, f.params.OrderOverlap*f.orderRatio.estimate(v.load.Placers))
 	free := v.load.Free.Minus(taken)
 	run := time.Duration(float64(n.Estimate) * max(1, v.load.Slowdown))
 	if n.Rack != "" && !slices.Contains(v.load.Labels, n.Rack) {
@@ -227,21 +229,21 @@
 	}
 	p := placement{node: node}
 	cores := max(v.load.Capacity.CPUMillis, 1)
-	before := v.load.before(n.Slack)
+	before := v.load.backlogBefore(n.Slack)
 	if before > 0 || !n.Demand.Fits(free) {
 		p.wait = (before+work)*1000/time.Duration(cores) + v.load.Turnover
 	}
-	p.left = float64(free.CPUMillis-n.Demand.CPUMillis) / float64(cores)
+	p.freeShare = float64(free.CPUMillis-n.Demand.CPUMillis) / float64(cores)
 	p.finish = p.wait + run
 	return p
 }
 
-// booked returns the demand and the core time of the orders that are estimated to be on their way
-// to an agent since its last load, where each pending order of this process stands for a number of
-// orders of all processes. Orders placed at the same time as this one count once: they are tasks of
-// the same job, which no other process has.
-func (v *agentView) booked(now time.Duration, each float64) (taken job.Demand, work time.Duration) {
-	others := max(1, each)
+// pendingDemand returns the demand and the core time of the orders that are estimated to be on
+// their way to an agent since its last load, where each pending order of this process stands for a
+// number of orders of all processes. Orders placed at the same time as this one count once: they
+// are tasks of the same job, which no other process has.
+func (v *agentView) pendingDemand(now time.Duration, ordersPerOwn float64) (taken job.Demand, work time.Duration) {
+	others := max(1, ordersPerOwn)
 	for i := range v.pending {
 		p := &v.pending[i]
 		times := others
--- a/coordination/owner/verdict.go
+++ b/coordination/owner/response.go
@@ -40,8 +40,8 @@
 	return "outcome " + strconv.Itoa(int(o))
 }
 
-// Verdict is the response to a request.
-type Verdict struct {
+// Response is the response to a request.
+type Response struct {
 	Outcome    Outcome
 	Reason     string
 	State      job.State
--- a/coordination/owner/restart.go
+++ b/coordination/owner/restart.go
@@ -7,26 +7,26 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// restart tells whether a task under which servers were lost may be started again.
-type restart uint8
+// restartDecision tells whether a task under which servers were lost may be started again.
+type restartDecision uint8
 
 const (
 	// restartNow: it may be started, with the caution that its crashes require.
-	restartNow restart = iota
+	restartNow restartDecision = iota
 	// restartLater: the decision depends on reports about a lost server.
 	restartLater
 	// restartNever: the task is given up.
 	restartNever
 )
 
-// restartLocked decides whether a task may be started again, by the servers lost under it.
-func (s *Shard) restartLocked(now time.Duration, t *task, rec *job.TaskRecord) restart {
-	n, most := len(rec.Crashes), s.fleet.params.CrashesMost
+// restartDecisionLocked decides whether a task may be started again, by the servers lost under it.
+func (s *Shard) restartDecisionLocked(now time.Duration, t *task, rec *job.TaskRecord) restartDecision {
+	n, most := len(rec.Crashes), s.fleet.params.MaxCrashes
 	if n == 0 {
 		return restartNow
 	}
 	last := &rec.Crashes[n-1]
-	if n < most && (n < aloneSuspect || !last.Alone) {
+	if n < most && (n < aloneCrashLimit || !last.Alone) {
 		return restartNow
 	}
 	confirmed := 0
@@ -36,15 +36,15 @@
 		}
 	}
 	switch since := now - t.lostAt; {
-	case confirmed >= min(aloneSuspect, most) && n >= most:
+	case confirmed >= min(aloneCrashLimit, most) && n >= most:
 		return restartNever
-	case confirmed == n && !s.togetherLocked(last):
+	case confirmed == n && !s.correlatedLossLocked(last):
 		return restartNever
-	case confirmed < n && since < newsOfCrash:
+	case confirmed < n && since < crashReportTimeout:
 		return restartLater
 	case n <= most:
 		return restartNow
-	case since < forgetCrash:
+	case since < unconfirmedCrashTimeout:
 		return restartLater
 	}
 	// No report can come for the unconfirmed crashes any more, because their agents are lost too.
@@ -52,23 +52,23 @@
 	return restartNow
 }
 
-// maySuspectStartLocked reports whether a task may be ordered now with regard to the servers lost
+// mayStartSuspectLocked reports whether a task may be ordered now with regard to the servers lost
 // under it. A task that is given up fails its job.
-func (s *Shard) maySuspectStartLocked(now time.Duration, fx *Effects, j *jobState, id job.TaskID, t *task) bool {
+func (s *Shard) mayStartSuspectLocked(now time.Duration, fx *Effects, j *jobState, id job.TaskID, t *task) bool {
 	rec := j.rec.Task(id)
 	if len(rec.Crashes) == 0 {
 		return true
 	}
-	switch s.restartLocked(now, t, rec) {
+	switch s.restartDecisionLocked(now, t, rec) {
 	case restartLater:
 		return false
 	case restartNever:
-		s.giveUpCrasherLocked(now, fx, j, id, t, rec)
+		s.failCrashingJobLocked(now, fx, j, id, t, rec)
 		return false
 	}
 	// A crash without a record is lost with its owner, and the next owner would start the task as
 	// many times again.
-	return j.rec.Spec.BestEffort || len(rec.Crashes) < recordedFrom || t.recorded >= newestCrash(rec)
+	return j.rec.Spec.BestEffort || len(rec.Crashes) < minCrashesToRecord || t.recordedCrash >= newestCrash(rec)
 }
 
 // newestCrash returns the number of the newest run that was lost with its server.
@@ -80,19 +80,19 @@
 	return newest
 }
 
-// giveUpCrasherLocked fails the job of a task that crashes its servers.
-func (s *Shard) giveUpCrasherLocked(now time.Duration, fx *Effects, j *jobState, id job.TaskID, t *task, rec *job.TaskRecord) {
-	fx.log(Decision{What: "crasher_given_up", Job: id.Job, Run: job.RunID{Task: id, Number: t.number}, Node: rec.Crashes[len(rec.Crashes)-1].Node, Count: len(rec.Crashes)})
-	t.phase = over
+// failCrashingJobLocked fails the job of a task that crashes its servers.
+func (s *Shard) failCrashingJobLocked(now time.Duration, fx *Effects, j *jobState, id job.TaskID, t *task, rec *job.TaskRecord) {
+	fx.log(Decision{Kind: "crasher_given_up", Job: id.Job, Run: job.RunID{Task: id, Number: t.number}, Node: rec.Crashes[len(rec.Crashes)-1].Node, Count: len(rec.Crashes)})
+	t.phase = finished
 	delete(s.suspects, id)
 	crashed := rec.Crashes
-	s.failLocked(now, fx, j, FailureCrashed)
-	s.acquitNeighboursLocked(now, fx, crashed)
+	s.failJobLocked(now, fx, j, FailureCrashed)
+	s.clearNeighboursLocked(now, fx, crashed)
 }
 
-// acquitNeighboursLocked removes the servers that a task has crashed from the crashes of the other
+// clearNeighboursLocked removes the servers that a task has crashed from the crashes of the other
 // suspects.
-func (s *Shard) acquitNeighboursLocked(now time.Duration, fx *Effects, crashed []job.Crash) {
+func (s *Shard) clearNeighboursLocked(now time.Duration, fx *Effects, crashed []job.Crash) {
 	for id := range s.suspects {
 		j := s.jobs[id.Job]
 		if j == nil || j.rec.State.Final() {
@@ -102,30 +102,30 @@
 		rec := j.rec.Task(id)
 		t := s.taskLocked(j, id)
 		kept := slices.DeleteFunc(slices.Clone(rec.Crashes), func(c job.Crash) bool {
-			innocent := slices.ContainsFunc(crashed, func(k job.Crash) bool { return k.Node == c.Node && k.Instance == c.Instance })
-			if innocent {
-				t.acquitted = max(t.acquitted, c.Run)
+			cleared := slices.ContainsFunc(crashed, func(k job.Crash) bool { return k.Node == c.Node && k.Instance == c.Instance })
+			if cleared {
+				t.clearedRun = max(t.clearedRun, c.Run)
 			}
-			return innocent
+			return cleared
 		})
 		if len(kept) == len(rec.Crashes) {
 			continue
 		}
 		rec.Crashes = kept
-		fx.log(Decision{What: "crash_acquitted", Job: id.Job, Run: job.RunID{Task: id}, Reason: "another_task", Count: len(kept)})
-		s.writeLocked(fx, j, now+s.bounds.LazyWrite)
+		fx.log(Decision{Kind: "crash_acquitted", Job: id.Job, Run: job.RunID{Task: id}, Reason: "another_task", Count: len(kept)})
+		s.scheduleWriteLocked(fx, j, now+s.bounds.MaxWriteDelay)
 	}
 }
 
-// acquitLocked clears a task of suspicion after a run of it has ended without its server.
-func (s *Shard) acquitLocked(fx *Effects, t *task, rec *job.TaskRecord, run job.RunID, node string) {
-	t.acquitted = run.Number
+// clearSuspectLocked clears a task of suspicion after a run of it has ended without its server.
+func (s *Shard) clearSuspectLocked(fx *Effects, t *task, rec *job.TaskRecord, run job.RunID, node string) {
+	t.clearedRun = run.Number
 	if len(rec.Crashes) == 0 {
 		return
 	}
 	rec.Crashes = nil
 	delete(s.suspects, run.Task)
-	fx.log(Decision{What: "crash_acquitted", Job: run.Task.Job, Run: run, Node: node, Reason: "ended"})
+	fx.log(Decision{Kind: "crash_acquitted", Job: run.Task.Job, Run: run, Node: node, Reason: "ended"})
 }
 
 // retrySuspectsLocked tries again to start suspects that wait for reports about a server.
@@ -139,7 +139,7 @@
 		// A task that was cleared while it waited for a report or for its record is started only
 		// from here.
 		if t := s.taskLocked(j, id); t.phase == idle && j.durable {
-			s.orderLocked(now, fx, j, id, t)
+			s.placeOrQueueLocked(now, fx, j, id, t)
 		}
 		if len(j.rec.Task(id).Crashes) == 0 {
 			delete(s.suspects, id)
--- a/coordination/owner/learning.go
+++ b/coordination/owner/run_time.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Learn updates a queue's ratio of measured run times to the client's estimates.
-func (f *Fleet) Learn(queue string, estimate, work time.Duration) {
+// ObserveRunTime updates a queue's ratio of measured run times to the client's estimates.
+func (f *Fleet) ObserveRunTime(queue string, estimate, work time.Duration) {
 	if estimate <= 0 || work <= 0 {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	ratio := min(float64(work)/float64(estimate), 10)
-	old, ok := f.ratios[queue]
+	old, ok := f.runTimeRatios[queue]
 	if !ok {
 		old = 1
 	}
-	f.ratios[queue] = old + f.params.LearnWeight*(ratio-old)
+	f.runTimeRatios[queue] = old + f.params.RunTimeWeight*(ratio-old)
 }
 
 // defaultEstimate is used for a task without an estimate. Most tasks take between 50 ms and a
 // second. Without a default such a job would have no slack at all and always be refused.
 const defaultEstimate = 200 * time.Millisecond
 
-// Expect corrects a client's estimate by the queue's measured run times.
-func (f *Fleet) Expect(queue string, estimate time.Duration) time.Duration {
+// ExpectedRunTime corrects a client's estimate by the queue's measured run times.
+func (f *Fleet) ExpectedRunTime(queue string, estimate time.Duration) time.Duration {
 	if estimate <= 0 {
 		estimate = defaultEstimate
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if ratio, ok := f.ratios[queue]; ok {
+	if ratio, ok := f.runTimeRatios[queue]; ok {
 		return time.Duration(float64(estimate) * ratio)
 	}
 	return estimate
--- a/coordination/owner/reach.go
+++ b/coordination/owner/status.go
@@ -1,10 +1,10 @@
 package owner
 
-// Concerns reports whether any agent may have runs of this shard.
-func (s *Shard) Concerns() bool {
+// MayHaveRuns reports whether any agent may have runs of this shard.
+func (s *Shard) MayHaveRuns() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.waitFor) > 0 {
+	if len(s.unreconciled) > 0 {
 		return true
 	}
 	for _, j := range s.jobs {
@@ -15,11 +15,12 @@
 	return false
 }
 
-// Occupied reports whether an agent may have a run of this shard, or an end that is not settled.
-func (s *Shard) Occupied(node string) bool {
+// MayHaveRunsAt reports whether an agent may have a run of this shard, or an end that is not
+// settled.
+func (s *Shard) MayHaveRunsAt(node string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, awaited := s.waitFor[node]; awaited {
+	if _, awaited := s.unreconciled[node]; awaited {
 		return true
 	}
 	for _, j := range s.jobs {
@@ -33,19 +34,19 @@
 	return false
 }
 
-// Awaited returns the agents of earlier owners that have not answered a claim yet.
-func (s *Shard) Awaited() []string {
+// UnreconciledAgents returns the agents of earlier owners that have not answered a claim yet.
+func (s *Shard) UnreconciledAgents() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]string, 0, len(s.waitFor))
-	for node := range s.waitFor {
+	out := make([]string, 0, len(s.unreconciled))
+	for node := range s.unreconciled {
 		out = append(out, node)
 	}
 	return out
 }
 
-// Reach returns the number of agents to which orders may go.
-func (s *Shard) Reach() int {
+// ReachableAgents returns the number of agents to which orders may go.
+func (s *Shard) ReachableAgents() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
--- a/coordination/owner/takeover_test.go
+++ b/coordination/owner/takeover_test.go
@@ -27,10 +27,10 @@
 	f := newFixture(t, nil, nil, "a")
 	f.submit(testID, steps(1, 1))
 	f.write()
-	f.link("a", 2, worker.RunState{Run: f.orders[0].What.Run, Status: worker.Ended, End: job.Done})
+	f.link("a", 2, worker.RunState{Run: f.orders[0].Value.Run, Status: worker.Ended, End: job.Done})
 	second := 0
 	for _, o := range f.orders {
-		if o.What.Run.Task.Step == 1 {
+		if o.Value.Run.Task.Step == 1 {
 			second++
 		}
 	}
@@ -59,9 +59,9 @@
 	f.is.Equal(len(f.orders), 0)
 	f.link("b", 1, runState(2, worker.Running, 0))
 	f.is.Equal(len(f.orders), 1) // the run that is there, repeated
-	f.is.Equal(f.orders[0].What.Run.Number, int64(2))
+	f.is.Equal(f.orders[0].Value.Run.Number, int64(2))
 	f.is.Equal(len(f.settled), 1)
-	f.is.True(f.settled[0].What.Void) // the failure was replaced
+	f.is.True(f.settled[0].Value.Void) // the failure was replaced
 }
 
 // The same, and there is no newer run: the failure counts, and the task starts
@@ -72,12 +72,12 @@
 	f.link("a", 2, runState(1, worker.Ended, job.FailedRun)) // its link was made anew
 	f.link("b", 1)
 	f.is.Equal(len(f.orders), 1)
-	f.is.True(f.orders[0].What.Run.Number > 1)
-	f.now += testBounds.LazyWrite
+	f.is.True(f.orders[0].Value.Run.Number > 1)
+	f.now += testBounds.MaxWriteDelay
 	b := f.write()
 	f.is.Equal(b.Writes[0].Record.Tasks[0].Failures, 1)
 	f.is.Equal(len(f.settled), 1)
-	f.is.True(!f.settled[0].What.Void)
+	f.is.True(!f.settled[0].Value.Void)
 }
 
 // One agent has two runs of a task: one that failed and, since, one at work. The
@@ -86,7 +86,7 @@
 	f := newFixture(t, recorded(), []string{"a"})
 	f.link("a", 1, runState(1, worker.Ended, job.FailedRun), runState(2, worker.Running, 0))
 	f.is.Equal(len(f.orders), 1)
-	f.is.Equal(f.orders[0].What.Run.Number, int64(2))
+	f.is.Equal(f.orders[0].Value.Run.Number, int64(2))
 }
 
 // A task is done, its record may wait a while, and the link is made anew. The
@@ -99,10 +99,10 @@
 	f.write()
 	f.event(f.orders[0], worker.Ended, job.Done)
 	f.link("a", 2,
-		worker.RunState{Run: f.orders[0].What.Run, Status: worker.Ended, End: job.Done},
-		worker.RunState{Run: f.orders[1].What.Run, Status: worker.Running})
+		worker.RunState{Run: f.orders[0].Value.Run, Status: worker.Ended, End: job.Done},
+		worker.RunState{Run: f.orders[1].Value.Run, Status: worker.Running})
 	f.is.Equal(len(f.settled), 0)
-	f.now += testBounds.LazyWrite
+	f.now += testBounds.MaxWriteDelay
 	f.write()
 	f.is.Equal(len(f.settled), 1)
 }
@@ -129,11 +129,11 @@
 	f.submit(testID, steps(1))
 	f.write()
 	f.LinkLost(f.now, f.orders[0].Node, 1)
-	f.Confirm(false)
-	f.now += testBounds.WaitOut + time.Second
+	f.SetOwnershipConfirmed(false)
+	f.now += testBounds.LostLinkTimeout + time.Second
 	f.take(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 1)
-	f.Confirm(true)
+	f.SetOwnershipConfirmed(true)
 	f.take(f.Tick(f.now))
 	f.is.Equal(len(f.orders), 2)
 }
@@ -149,7 +149,7 @@
 	refusal := f.Claimed(f.now, "a", worker.Claimed{Claim: claim, Refused: true, KnownEpoch: f.Epoch})
 	f.is.Equal(refusal.Relinks, []string{"a"})
 	f.is.True(!f.Closed())
-	f.is.Equal(f.Reach(), 0)
+	f.is.Equal(f.ReachableAgents(), 0)
 
 	f.LinkLost(f.now, "a", 1)
 	f.link("a", 2)
@@ -193,7 +193,7 @@
 	f := newFixture(t, nil, nil)
 	_, _, fx := f.Linked(f.now, "a", 1)
 	f.take(fx)
-	f.now += claimPatience - time.Millisecond
+	f.now += claimTimeout - time.Millisecond
 	f.is.Equal(len(f.Tick(f.now).Relinks), 0)
 	f.now += time.Millisecond
 	f.is.Equal(f.Tick(f.now).Relinks, []string{"a"})
--- a/coordination/owner/waiting.go
+++ b/coordination/owner/waiting.go
@@ -8,34 +8,34 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// orderLocked sends a task to an agent with free capacity, or adds it to the backlog. A task in the
-// backlog is skipped: each end of a run calls this for all idle tasks of the job, and a job of a
-// thousand tasks would add each of them a thousand times.
-func (s *Shard) orderLocked(now time.Duration, fx *Effects, j *jobState, id job.TaskID, t *task) {
-	if t.waiting || !s.maySuspectStartLocked(now, fx, j, id, t) {
+// placeOrQueueLocked sends a task to an agent with free capacity, or adds it to the backlog. A task
+// in the backlog is skipped: each end of a run calls this for all idle tasks of the job, and a job
+// of a thousand tasks would add each of them a thousand times.
+func (s *Shard) placeOrQueueLocked(now time.Duration, fx *Effects, j *jobState, id job.TaskID, t *task) {
+	if t.waiting || !s.mayStartSuspectLocked(now, fx, j, id, t) {
 		return
 	}
-	w := s.waitingTask(j, id)
-	if s.waiting.ahead(w.where, w.yields, w.latest) > 0 || !s.bindLocked(now, fx, j, id, t) {
+	w := s.newWaitingTask(j, id)
+	if s.waiting.workAhead(w.key, w.late, w.latestStart) > 0 || !s.placeLocked(now, fx, j, id, t) {
 		s.waiting.add(w)
 		t.waiting = true
 	}
 }
 
-func (s *Shard) waitingTask(j *jobState, id job.TaskID) waitingTask {
+func (s *Shard) newWaitingTask(j *jobState, id job.TaskID) waitingTask {
 	st := &j.rec.Spec.Steps[id.Step]
-	n := s.need(&j.rec.Policy, st)
-	where := placeKeyOf(&j.rec.Policy, st)
-	where.suspect = s.caution(j.rec.Task(id)) != worker.NoCaution
-	return waitingTask{id: id, where: where, yields: j.yields, latest: j.due - n.Estimate, work: coreTime(n)}
+	n := s.placementRequest(&j.rec.Policy, st)
+	key := placementKeyOf(&j.rec.Policy, st)
+	key.suspect = s.caution(j.rec.Task(id)) != worker.NoCaution
+	return waitingTask{id: id, key: key, late: j.late, latestStart: j.due - n.Estimate, work: coreTime(n)}
 }
 
-// bindLocked sends a task to an agent, if one will have free capacity soon.
-func (s *Shard) bindLocked(now time.Duration, fx *Effects, j *jobState, id job.TaskID, t *task) bool {
+// placeLocked sends a task to an agent, if one will have free capacity soon.
+func (s *Shard) placeLocked(now time.Duration, fx *Effects, j *jobState, id job.TaskID, t *task) bool {
 	rec := j.rec.Task(id)
-	need := s.need(&j.rec.Policy, &j.rec.Spec.Steps[id.Step])
-	need.Now, need.Slack, need.Yields = now, j.due-now-need.Estimate, j.yields
-	need.Avoid, need.Caution = avoided(t, rec), s.caution(rec)
+	need := s.placementRequest(&j.rec.Policy, &j.rec.Spec.Steps[id.Step])
+	need.Now, need.Slack, need.Late = now, j.due-now-need.Estimate, j.late
+	need.Avoid, need.Caution = avoidedAgents(t, rec), s.caution(rec)
 	node, ok := s.fleet.Place(need, s.mayOrderLocked)
 	if !ok {
 		return false
@@ -43,20 +43,20 @@
 	t.number = max(t.number+1, (s.Epoch-j.rec.FirstEpoch)*runsPerEpoch+1)
 	t.phase, t.node = ordered, node
 	j.ordered = true
-	fx.log(Decision{What: "ordered", Job: id.Job, Run: job.RunID{Task: id, Number: t.number}, Node: node, Age: now - j.accepted, Wait: need.Slack})
-	fx.Orders = append(fx.Orders, Placed[worker.Order]{Node: node, What: s.order(j, id, t, need.Estimate)})
+	fx.log(Decision{Kind: "ordered", Job: id.Job, Run: job.RunID{Task: id, Number: t.number}, Node: node, Age: now - j.acceptedAt, Wait: need.Slack})
+	fx.Orders = append(fx.Orders, Addressed[worker.Order]{Node: node, Value: s.newOrder(j, id, t, need.Estimate)})
 	return true
 }
 
-// Waiting reports whether tasks wait at this owner for free capacity.
-func (s *Shard) Waiting() bool {
+// HasWaitingTasks reports whether tasks wait at this owner for free capacity.
+func (s *Shard) HasWaitingTasks() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.waiting.tasks) > 0
 }
 
-// News tries to place the waiting tasks after an agent has reported a new load.
-func (s *Shard) News(now time.Duration) Effects {
+// AgentsUpdated tries to place the waiting tasks after an agent has reported a new load.
+func (s *Shard) AgentsUpdated(now time.Duration) Effects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var fx Effects
@@ -73,41 +73,41 @@
 // tried each time, an entry with a hundred jobs waiting spent more than its processor on that, fell
 // behind with handling its frames, and had even more jobs waiting.
 func (s *Shard) placeWaitingLocked(now time.Duration, fx *Effects) {
-	s.waiting.measure(now, s.fleet.params.YieldMemory)
-	full := make(map[placeKey]bool)
-	s.waiting.filter(func(w *waitingTask) fate {
-		if len(full) == len(s.waiting.places) {
-			return stop
+	s.waiting.updateLateRate(now, s.fleet.params.LateRateWindow)
+	full := make(map[placementKey]bool)
+	s.waiting.filter(func(w *waitingTask) filterAction {
+		if len(full) == len(s.waiting.counts) {
+			return stopFilter
 		}
-		j, t := s.stillWaitsLocked(w)
+		j, t := s.stillWaitingLocked(w)
 		if t == nil {
-			return leave
+			return removeTask
 		}
-		if full[w.where] {
+		if full[w.key] {
 			// Smaller tasks behind it must not overtake it, or a task with a large demand would
 			// starve.
-			return stay
+			return keepTask
 		}
 		if s.tooLateLocked(now, j, w) {
 			t.waiting = false
 			s.giveUpLocked(now, fx, j, ReasonOverload)
-			return leave
+			return removeTask
 		}
-		if !s.bindLocked(now, fx, j, w.id, t) {
-			full[w.where] = true
-			return stay
+		if !s.placeLocked(now, fx, j, w.id, t) {
+			full[w.key] = true
+			return keepTask
 		}
 		t.waiting = false
-		if w.yields {
-			s.waiting.left += w.work
+		if w.late {
+			s.waiting.lateStarted += w.work
 		}
-		return leave
+		return removeTask
 	})
 }
 
-// stillWaitsLocked returns the job and the task of an entry in the backlog, or nil if the task no
+// stillWaitingLocked returns the job and the task of an entry in the backlog, or nil if the task no
 // longer waits.
-func (s *Shard) stillWaitsLocked(w *waitingTask) (*jobState, *task) {
+func (s *Shard) stillWaitingLocked(w *waitingTask) (*jobState, *task) {
 	j := s.jobs[w.id.Job]
 	if j == nil {
 		return nil, nil
@@ -123,44 +123,44 @@
 	return j, t
 }
 
-// dropHopelessLocked gives up the waiting jobs whose answers can't be of use any more.
-func (s *Shard) dropHopelessLocked(now time.Duration, fx *Effects) {
-	reachable := make(map[placeKey]job.Demand)
-	s.waiting.filter(func(w *waitingTask) fate {
-		j, t := s.stillWaitsLocked(w)
+// giveUpUselessLocked gives up the waiting jobs whose answers can't be of use any more.
+func (s *Shard) giveUpUselessLocked(now time.Duration, fx *Effects) {
+	reachable := make(map[placementKey]job.Demand)
+	s.waiting.filter(func(w *waitingTask) filterAction {
+		j, t := s.stillWaitingLocked(w)
 		if t == nil {
-			return leave
+			return removeTask
 		}
-		reason := s.hopelessLocked(now, j, w, reachable)
+		reason := s.uselessReasonLocked(now, j, w, reachable)
 		if reason == "" {
-			return stay
+			return keepTask
 		}
 		t.waiting = false
 		s.giveUpLocked(now, fx, j, reason)
-		return leave
+		return removeTask
 	})
 }
 
-// hopelessLocked returns why the answer to a job of which nothing has started can't be of use any
-// more, or "". reachable has, for each placement key, a demand for which an agent is eligible, so
-// that the agents are examined only once for all tasks that need no more.
-func (s *Shard) hopelessLocked(now time.Duration, j *jobState, w *waitingTask, reachable map[placeKey]job.Demand) string {
-	if j.useful == 0 || j.ordered {
+// uselessReasonLocked returns why the answer to a job of which nothing has started can't be of use
+// any more, or "". reachable has, for each placement key, a demand for which an agent is eligible,
+// so that the agents are examined only once for all tasks that need no more.
+func (s *Shard) uselessReasonLocked(now time.Duration, j *jobState, w *waitingTask, reachable map[placementKey]job.Demand) string {
+	if j.usefulUntil == 0 || j.ordered {
 		return ""
 	}
 	if s.tooLateLocked(now, j, w) {
 		return ReasonOverload
 	}
 	st := &j.rec.Spec.Steps[w.id.Step]
-	if known, ok := reachable[w.where]; ok && st.Demand.Fits(known) {
+	if known, ok := reachable[w.key]; ok && st.Demand.Fits(known) {
 		return ""
 	}
-	need := s.need(&j.rec.Policy, st)
-	if cores, _ := s.fleet.Room(need, s.mayOrderLocked); cores > 0 {
-		reachable[w.where] = st.Demand
+	need := s.placementRequest(&j.rec.Policy, st)
+	if cores, _ := s.fleet.EligibleCapacity(need, s.mayOrderLocked); cores > 0 {
+		reachable[w.key] = st.Demand
 		return ""
 	}
-	if s.expectsAgents(now, &j.rec.Spec) || s.fleet.Offers(j.rec.Policy.Service, st.Label, job.Demand{}) {
+	if s.inStartupGrace(now, &j.rec.Spec) || s.fleet.Offers(j.rec.Policy.Service, st.Label, job.Demand{}) {
 		// Some agent could run the job when it was accepted. Capacity that has shrunk may grow
 		// again.
 		return ""
@@ -171,21 +171,21 @@
 // tooLateLocked reports whether a job of which nothing has started would end too late to be of use
 // even if it started now.
 func (s *Shard) tooLateLocked(now time.Duration, j *jobState, w *waitingTask) bool {
-	if j.useful == 0 || j.ordered {
+	if j.usefulUntil == 0 || j.ordered {
 		return false
 	}
-	return now > j.useful-s.fleet.Expect(j.rec.Policy.Queue, j.rec.Spec.Steps[w.id.Step].Estimate)
+	return now > j.usefulUntil-s.fleet.ExpectedRunTime(j.rec.Policy.Queue, j.rec.Spec.Steps[w.id.Step].Estimate)
 }
 
 // giveUpLocked refuses a job that was accepted and of which nothing has started. Its client is told
 // at once and can submit the job elsewhere.
 func (s *Shard) giveUpLocked(now time.Duration, fx *Effects, j *jobState, reason string) {
-	fx.log(Decision{What: "given_up", Job: j.rec.ID, Reason: reason, Age: now - j.accepted})
+	fx.log(Decision{Kind: "given_up", Job: j.rec.ID, Reason: reason, Age: now - j.acceptedAt})
 	for _, w := range j.waiters {
-		fx.reply(w, Verdict{Outcome: Refused, Reason: reason, RetryAfter: time.Second})
+		fx.reply(w, Response{Outcome: Refused, Reason: reason, RetryAfter: time.Second})
 	}
-	for _, w := range slices.Concat(j.cancels, j.watchers) {
-		fx.reply(w, Verdict{Outcome: Absent})
+	for _, w := range slices.Concat(j.cancelWaiters, j.watchers) {
+		fx.reply(w, Response{Outcome: Absent})
 	}
 	delete(s.jobs, j.rec.ID)
 }
--- a/coordination/owner/write.go
+++ b/coordination/owner/write.go
@@ -12,8 +12,8 @@
 	ID job.ID
 	// Record is the job's newest record; nil removes it.
 	Record *job.Record
-	// settles has the settlements of the ends that the record covers.
-	settles []Placed[Settlement]
+	// settlements has the settlements of the ends that the record covers.
+	settlements []Addressed[Settlement]
 	// final is set when the record includes the job's end.
 	final bool
 }
@@ -29,17 +29,17 @@
 // Empty reports whether there is nothing to write.
 func (b *Batch) Empty() bool { return len(b.Writes) == 0 && b.Agents == nil }
 
-// writeLocked schedules the write of a job's record by a time.
-func (s *Shard) writeLocked(fx *Effects, j *jobState, by time.Duration) {
+// scheduleWriteLocked schedules the write of a job's record by a time.
+func (s *Shard) scheduleWriteLocked(fx *Effects, j *jobState, by time.Duration) {
 	if j.rec.Spec.BestEffort {
 		s.settleAllLocked(fx, j)
 		return
 	}
-	s.dirtyLocked(j, by)
+	s.markDirtyLocked(j, by)
 	fx.Write = true
 }
 
-func (s *Shard) dirtyLocked(j *jobState, by time.Duration) {
+func (s *Shard) markDirtyLocked(j *jobState, by time.Duration) {
 	if j.writeBy == 0 {
 		s.dirty = append(s.dirty, j.rec.ID)
 		j.writeBy = by
@@ -58,30 +58,30 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var b Batch
-	if s.closed || !s.dueLocked(now) {
+	if s.closed || !s.writeDueLocked(now) {
 		return b
 	}
-	if s.naming {
+	if s.agentsDirty {
 		b.Agents = s.agentsLocked()
-		s.naming = false
+		s.agentsDirty = false
 	}
 	n := min(len(s.dirty), maxBatch)
 	for _, id := range s.dirty[:n] {
-		b.Writes = append(b.Writes, s.takeLocked(id))
+		b.Writes = append(b.Writes, s.takeWriteLocked(id))
 	}
 	s.dirty = slices.Clone(s.dirty[n:])
 	return b
 }
 
-// Due reports whether a record has to be written now.
-func (s *Shard) Due(now time.Duration) bool {
+// WriteDue reports whether a record has to be written now.
+func (s *Shard) WriteDue(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.closed && s.dueLocked(now)
+	return !s.closed && s.writeDueLocked(now)
 }
 
-func (s *Shard) dueLocked(now time.Duration) bool {
-	if s.naming {
+func (s *Shard) writeDueLocked(now time.Duration) bool {
+	if s.agentsDirty {
 		return true
 	}
 	for _, id := range s.dirty {
@@ -94,11 +94,11 @@
 
 // agentsLocked returns the agents that have, or may get, runs of this shard.
 func (s *Shard) agentsLocked() []string {
-	out := make([]string, 0, len(s.links)+len(s.waitFor))
+	out := make([]string, 0, len(s.links)+len(s.unreconciled))
 	for node := range s.links {
 		out = append(out, node)
 	}
-	for node := range s.waitFor {
+	for node := range s.unreconciled {
 		if s.links[node] == nil {
 			out = append(out, node)
 		}
@@ -107,11 +107,11 @@
 	return out
 }
 
-func (s *Shard) takeLocked(id job.ID) Write {
+func (s *Shard) takeWriteLocked(id job.ID) Write {
 	j := s.jobs[id]
 	j.writeBy = 0
 	w := Write{ID: id}
-	if j.drop {
+	if j.removing {
 		return w
 	}
 	r := *j.rec
@@ -126,7 +126,7 @@
 	w.Record = &r
 	w.final = r.State.Final()
 	for i := range j.tasks {
-		w.settles = append(w.settles, j.tasks[i].unsettled...)
+		w.settlements = append(w.settlements, j.tasks[i].unsettled...)
 		j.tasks[i].unsettled = nil
 	}
 	return w
@@ -137,11 +137,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var fx Effects
-	s.storeBad = false
+	s.storeUnavailable = false
 	if b.Agents != nil {
-		clear(s.named)
+		clear(s.storedAgents)
 		for _, node := range b.Agents {
-			s.named[node] = true
+			s.storedAgents[node] = true
 		}
 	}
 	for i := range b.Writes {
@@ -161,29 +161,29 @@
 		delete(s.jobs, w.ID)
 		return
 	}
-	for _, u := range w.settles {
-		if t := s.taskLocked(j, u.What.Run.Task); t != nil && t.awaits == u.What.Run.Number {
-			t.awaits = 0
+	for _, u := range w.settlements {
+		if t := s.taskLocked(j, u.Value.Run.Task); t != nil && t.unrecordedRun == u.Value.Run.Number {
+			t.unrecordedRun = 0
 		}
-		fx.settle(u.Node, u.What)
+		fx.settle(u.Node, u.Value)
 	}
 	for i := range w.Record.Tasks {
 		if i < len(j.tasks) {
-			j.tasks[i].recorded = max(j.tasks[i].recorded, newestCrash(&w.Record.Tasks[i]))
+			j.tasks[i].recordedCrash = max(j.tasks[i].recordedCrash, newestCrash(&w.Record.Tasks[i]))
 		}
 	}
 	first := !j.durable
 	j.durable = true
 	for _, reply := range j.waiters {
-		fx.reply(reply, Verdict{Outcome: OK, State: w.Record.State})
+		fx.reply(reply, Response{Outcome: OK, State: w.Record.State})
 	}
 	j.waiters = nil
-	if w.final && !j.shown.Final() {
-		s.shownLocked(now, fx, j)
+	if w.final && !j.reportedState.Final() {
+		s.reportEndLocked(now, fx, j)
 		return
 	}
 	if first {
-		fx.log(Decision{What: "accepted", Job: w.ID, Age: now - j.accepted, Wait: j.due - now})
+		fx.log(Decision{Kind: "accepted", Job: w.ID, Age: now - j.acceptedAt, Wait: j.due - now})
 		s.dispatchLocked(now, fx, j)
 	}
 }
@@ -194,9 +194,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var fx Effects
-	s.storeBad = true
+	s.storeUnavailable = true
 	if b.Agents != nil {
-		s.naming = true
+		s.agentsDirty = true
 	}
 	for i := range b.Writes {
 		w := &b.Writes[i]
@@ -205,45 +205,45 @@
 			continue
 		}
 		if !j.durable && !j.rec.State.Final() {
-			s.refuseLocked(&fx, j, reason)
+			s.refuseUnrecordedLocked(&fx, j, reason)
 			continue
 		}
-		s.restoreLocked(j, w, now)
+		s.rescheduleWriteLocked(j, w, now)
 	}
 	return fx
 }
 
-func (s *Shard) refuseLocked(fx *Effects, j *jobState, reason string) {
+func (s *Shard) refuseUnrecordedLocked(fx *Effects, j *jobState, reason string) {
 	for _, reply := range j.waiters {
-		fx.reply(reply, Verdict{Outcome: Refused, Reason: ReasonStore, RetryAfter: time.Second})
+		fx.reply(reply, Response{Outcome: Refused, Reason: ReasonStoreUnavailable, RetryAfter: time.Second})
 	}
 	s.unqueueLocked(j)
 	delete(s.jobs, j.rec.ID)
 	s.dirty = slices.DeleteFunc(s.dirty, func(id job.ID) bool { return id == j.rec.ID })
-	fx.log(Decision{What: "refused", Job: j.rec.ID, Reason: reason})
+	fx.log(Decision{Kind: "refused", Job: j.rec.ID, Reason: reason})
 }
 
-func (s *Shard) restoreLocked(j *jobState, w *Write, now time.Duration) {
+func (s *Shard) rescheduleWriteLocked(j *jobState, w *Write, now time.Duration) {
 	if len(j.tasks) > 0 {
-		j.tasks[0].unsettled = append(j.tasks[0].unsettled, w.settles...)
+		j.tasks[0].unsettled = append(j.tasks[0].unsettled, w.settlements...)
 	}
-	s.dirtyLocked(j, now)
+	s.markDirtyLocked(j, now)
 }
 
-// StoreBad notes that the store does not answer. New jobs are then refused at once instead of
-// waiting with an unknown outcome.
-func (s *Shard) StoreBad() {
+// MarkStoreUnavailable notes that the store does not answer. New jobs are then refused at once
+// instead of waiting with an unknown outcome.
+func (s *Shard) MarkStoreUnavailable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.storeBad = true
+	s.storeUnavailable = true
 }
 
-// Busy reports whether a client waits for a record to be written.
-func (s *Shard) Busy() bool {
+// HasRecordWaiters reports whether a client waits for a record to be written.
+func (s *Shard) HasRecordWaiters() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, j := range s.jobs {
-		if len(j.waiters) > 0 && !j.rec.Spec.BestEffort || len(j.cancels) > 0 {
+		if len(j.waiters) > 0 && !j.rec.Spec.BestEffort || len(j.cancelWaiters) > 0 {
 			return true
 		}
 	}
--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -277,14 +277,14 @@
 func (a *Agent) Required() []string {
 	out := a.links.WithOrphans()
 	for _, r := range a.owned() {
-		out = append(out, r.Awaited()...)
+		out = append(out, r.UnreconciledAgents()...)
 	}
 	return out
 }
 
 // Occupied implements linkUser.
 func (a *Agent) Occupied(node string) bool {
-	return slices.ContainsFunc(a.owned(), func(r *shardRunner) bool { return r.Shard.Occupied(node) })
+	return slices.ContainsFunc(a.owned(), func(r *shardRunner) bool { return r.Shard.MayHaveRunsAt(node) })
 }
 
 // Metrics serves the agent's metrics.
--- a/daemon/agent/drains.go
+++ b/daemon/agent/drains.go
@@ -22,7 +22,7 @@
 // drainsChanged has nothing newly started beside this agent if its failure domain is
 // drained, and tells those that are linked with it.
 func (a *Agent) drainsChanged(s drains.State) {
-	a.fleet.Drain(s)
+	a.fleet.SetDrained(s)
 	a.links.Drain(s)
 	a.apply(a.worker.DrainDomain(bootclock.Now(), s.Has(a.settings.Zone)))
 	for c := range a.everyCaller() {
--- a/daemon/agent/membership.go
+++ b/daemon/agent/membership.go
@@ -164,7 +164,7 @@
 	epoch := a.epochs.next(id, generation)
 	go func() {
 		r, err := a.openShard(ctx, id, epoch)
-		if err == nil && r.Concerns() {
+		if err == nil && r.MayHaveRuns() {
 			a.links.Open()
 		}
 		a.mu.Lock()
@@ -201,7 +201,7 @@
 func (a *Agent) leave(ctx context.Context) {
 	for _, r := range a.owned() {
 		// What was accepted is in the store; what is on its way gets there.
-		for i := 0; i < drainWrites && ctx.Err() == nil && r.Busy(); i++ {
+		for i := 0; i < drainWrites && ctx.Err() == nil && r.HasRecordWaiters(); i++ {
 			r.Signal()
 			_ = pause.For(ctx, drainPause)
 		}
--- a/daemon/agent/questions.go
+++ b/daemon/agent/questions.go
@@ -14,10 +14,10 @@
 )
 
 // verdictNotOwner answers questions about shards of other agents.
-var verdictNotOwner = owner.Verdict{Outcome: owner.NotOwner, Reason: owner.ReasonTakeover}
+var verdictNotOwner = owner.Response{Outcome: owner.NotOwner, Reason: owner.ReasonOwnerChanged}
 
 // Submit implements peer.AgentHandler.
-func (a *Agent) Submit(shard int, id job.ID, spec job.Spec, p job.Policy, reply func(owner.Verdict)) {
+func (a *Agent) Submit(shard int, id job.ID, spec job.Spec, p job.Policy, reply func(owner.Response)) {
 	r := a.shard(shard)
 	if r == nil || !a.confirmedOwner() {
 		reply(verdictNotOwner)
@@ -49,7 +49,7 @@
 		a.links.Open()
 	}
 	for bootclock.Now() < a.reachUntil.Get() {
-		if wanted, known := a.links.Reach(); known && r.Reach() >= wanted {
+		if wanted, known := a.links.Reach(); known && r.ReachableAgents() >= wanted {
 			return
 		}
 		_ = pause.For(context.Background(), reachPoll)
@@ -57,7 +57,7 @@
 }
 
 // Lookup implements peer.AgentHandler.
-func (a *Agent) Lookup(shard int, id job.ID) owner.Verdict {
+func (a *Agent) Lookup(shard int, id job.ID) owner.Response {
 	r := a.shard(shard)
 	if r == nil {
 		return verdictNotOwner
@@ -71,7 +71,7 @@
 }
 
 // Cancel implements peer.AgentHandler.
-func (a *Agent) Cancel(shard int, id job.ID, reply func(owner.Verdict)) {
+func (a *Agent) Cancel(shard int, id job.ID, reply func(owner.Response)) {
 	r := a.shard(shard)
 	if r == nil || !a.confirmedOwner() {
 		reply(verdictNotOwner)
@@ -81,7 +81,7 @@
 }
 
 // Await implements peer.AgentHandler.
-func (a *Agent) Await(shard int, id job.ID, reply func(owner.Verdict)) {
+func (a *Agent) Await(shard int, id job.ID, reply func(owner.Response)) {
 	r := a.shard(shard)
 	if r == nil || !a.confirmedOwner() {
 		reply(verdictNotOwner)
@@ -91,8 +91,8 @@
 }
 
 // Pending implements peer.AgentHandler.
-func (a *Agent) Pending(queue string) owner.Verdict {
-	v := owner.Verdict{}
+func (a *Agent) Pending(queue string) owner.Response {
+	v := owner.Response{}
 	for _, r := range a.owned() {
 		v.Count += r.Shard.Pending(queue)
 	}
--- a/daemon/agent/serve.go
+++ b/daemon/agent/serve.go
@@ -139,7 +139,7 @@
 	a.mu.Lock()
 	delete(a.up, node)
 	a.mu.Unlock()
-	a.fleet.Lost(node)
+	a.fleet.LinkLost(node)
 	for _, r := range a.owned() {
 		r.LinkDown(node, session)
 	}
--- a/daemon/agent/shard.go
+++ b/daemon/agent/shard.go
@@ -94,7 +94,7 @@
 			return
 		case <-r.Wake:
 		case <-tick.C:
-			r.Confirm(r.agent.confirmedOwner())
+			r.SetOwnershipConfirmed(r.agent.confirmedOwner())
 			r.Step(r.Shard.Tick)
 		}
 		for r.writeNext(ctx) {
@@ -107,7 +107,7 @@
 	if r.Closed() || ctx.Err() != nil {
 		return false
 	}
-	if !r.Due(bootclock.Now()) {
+	if !r.WriteDue(bootclock.Now()) {
 		if r.stale.Load() {
 			r.probe(ctx)
 		}
@@ -228,7 +228,7 @@
 		r.agent.metrics.Repeats.Inc()
 		if took > badAfter {
 			r.stale.Store(true)
-			r.StoreBad()
+			r.MarkStoreUnavailable()
 		}
 		klog.V(1).InfoS("A write is repeated", "shard", r.ID, "after", took, "err", err)
 		if errors.Is(err, store.ErrRejected) {
--- a/daemon/agent/shard_test.go
+++ b/daemon/agent/shard_test.go
@@ -43,11 +43,11 @@
 }
 
 // submit has the runner take a job and write what is due.
-func (r *shardRunner) submit(id job.ID, payload string) owner.Verdict {
-	var got owner.Verdict
+func (r *shardRunner) submit(id job.ID, payload string) owner.Response {
+	var got owner.Response
 	spec := job.Spec{Payload: payload, Steps: []job.Step{{Count: 1, Demand: job.Demand{CPUMillis: 100}}}}
 	r.Step(func(now time.Duration) owner.Effects {
-		return r.Submit(now, id, spec, job.Policy{Service: "desk", Slack: 2, Target: time.Minute}, func(v owner.Verdict) { got = v })
+		return r.Submit(now, id, spec, job.Policy{Service: "desk", Slack: 2, Target: time.Minute}, func(v owner.Response) { got = v })
 	})
 	for r.writeNext(context.Background()) {
 	}
--- a/daemon/clients/answer.go
+++ b/daemon/clients/answer.go
@@ -10,17 +10,17 @@
 
 // reasons are the interface's words for the verdicts of owners and entries.
 var reasons = map[string]state.Reason{
-	owner.ReasonOverload: state.ReasonOverload,
-	owner.ReasonNoWorker: state.ReasonNoBackend,
-	owner.ReasonDrained:  state.ReasonDomainDrained,
-	owner.ReasonStore:    state.ReasonStoreUnavailable,
-	owner.ReasonConflict: state.ReasonIDConflict,
-	owner.ReasonNoOwner:  state.ReasonNoOwner,
-	owner.ReasonLost:     state.ReasonOwnerLost,
-	owner.ReasonTime:     state.ReasonDeadline,
+	owner.ReasonOverload:         state.ReasonOverload,
+	owner.ReasonNoWorker:         state.ReasonNoBackend,
+	owner.ReasonDomainDrained:    state.ReasonDomainDrained,
+	owner.ReasonStoreUnavailable: state.ReasonStoreUnavailable,
+	owner.ReasonIDConflict:       state.ReasonIDConflict,
+	owner.ReasonNoOwner:          state.ReasonNoOwner,
+	owner.ReasonOwnerLost:        state.ReasonOwnerLost,
+	owner.ReasonTimeLimit:        state.ReasonDeadline,
 }
 
-func reasonOf(v owner.Verdict) state.Reason {
+func reasonOf(v owner.Response) state.Reason {
 	if r, ok := reasons[v.Reason]; ok {
 		return r
 	}
@@ -32,7 +32,7 @@
 }
 
 // failed is the answer where there is no job to tell of.
-func failed(key state.JobKey, v owner.Verdict) state.Answer {
+func failed(key state.JobKey, v owner.Response) state.Answer {
 	switch v.Outcome {
 	case owner.Refused:
 		return refused(key, reasonOf(v), v.RetryAfter)
@@ -44,7 +44,7 @@
 }
 
 // answerOf tells what a job has come to.
-func answerOf(key state.JobKey, v owner.Verdict) state.Answer {
+func answerOf(key state.JobKey, v owner.Response) state.Answer {
 	if v.Outcome != owner.OK {
 		return failed(key, v)
 	}
@@ -75,7 +75,7 @@
 	return time.Duration(sum * float64(time.Second))
 }
 
-func complete(key state.JobKey, v owner.Verdict) state.Answer {
+func complete(key state.JobKey, v owner.Response) state.Answer {
 	a := state.Answer{Key: key, Outcome: state.Complete, Results: make([][]byte, len(v.Tasks))}
 	for i, t := range v.Tasks {
 		a.Results[i] = []byte(t.Result)
--- a/daemon/clients/clients.go
+++ b/daemon/clients/clients.go
@@ -27,10 +27,10 @@
 
 // Entry is what takes jobs to their owners.
 type Entry interface {
-	Submit(ctx context.Context, id job.ID, spec *job.Spec, p *job.Policy) owner.Verdict
-	Await(ctx context.Context, id job.ID) owner.Verdict
-	Lookup(ctx context.Context, id job.ID) owner.Verdict
-	Cancel(ctx context.Context, id job.ID) owner.Verdict
+	Submit(ctx context.Context, id job.ID, spec *job.Spec, p *job.Policy) owner.Response
+	Await(ctx context.Context, id job.ID) owner.Response
+	Lookup(ctx context.Context, id job.ID) owner.Response
+	Cancel(ctx context.Context, id job.ID) owner.Response
 	Agents() []owner.AgentView
 	// Capacities are what the known backend servers of a service have.
 	Capacities(service string) []job.Demand
@@ -159,7 +159,7 @@
 			Cores: cores(a.Load.Capacity), FreeCores: cores(a.Load.Free),
 			MemoryMB: a.Load.Capacity.MemoryMB, Accelerators: a.Load.Capacity.GPUs,
 			Accepts: a.Load.Accepts, Drained: drained.Has(a.Load.Domain), WaitingMS: a.Load.Backlog.Milliseconds(),
-			AgeMS: (now - a.Heard).Milliseconds(),
+			AgeMS: (now - a.UpdatedAt).Milliseconds(),
 		})
 	}
 	return out
--- a/daemon/core/bounds.go
+++ b/daemon/core/bounds.go
@@ -49,9 +49,9 @@
 func OwnerBounds(s *settings.Settings) owner.Bounds {
 	waitOut := OwnerSilence + s.Bounds.Lease + leaseSlack
 	return owner.Bounds{
-		WaitOut:   waitOut,
-		Takeover:  waitOut + RenewLimit,
-		Retention: 2 * s.Bounds.Retention,
-		LazyWrite: lazyWrite,
+		LostLinkTimeout: waitOut,
+		TakeoverTimeout: waitOut + RenewLimit,
+		Retention:       2 * s.Bounds.Retention,
+		MaxWriteDelay:   lazyWrite,
 	}
 }
--- a/daemon/core/links.go
+++ b/daemon/core/links.go
@@ -42,9 +42,9 @@
 
 // WorkPlacer places the user's work on the linked agents. It is an owner.Fleet.
 type WorkPlacer interface {
-	// Retire says whether an agent gets no new work: its link is about to end, or is there
+	// SetRetired says whether an agent gets no new work: its link is about to end, or is there
 	// because it is required.
-	Retire(node string, yes bool)
+	SetRetired(node string, yes bool)
 	// FreeShare is the part of some agents' cores that is free.
 	FreeShare(nodes []string) float64
 }
--- a/daemon/core/links_test.go
+++ b/daemon/core/links_test.go
@@ -36,11 +36,11 @@
 	free     float64
 }
 
-func (u *fakeUser) Share() subset.Share          { return u.share }
-func (u *fakeUser) Required() []string           { return u.required }
-func (u *fakeUser) Occupied(node string) bool    { return u.occupied[node] }
-func (u *fakeUser) Retire(node string, yes bool) { u.retired[node] = yes }
-func (u *fakeUser) FreeShare([]string) float64   { return u.free }
+func (u *fakeUser) Share() subset.Share              { return u.share }
+func (u *fakeUser) Required() []string               { return u.required }
+func (u *fakeUser) Occupied(node string) bool        { return u.occupied[node] }
+func (u *fakeUser) SetRetired(node string, yes bool) { u.retired[node] = yes }
+func (u *fakeUser) FreeShare([]string) float64       { return u.free }
 
 func newFakeUser() *fakeUser {
 	return &fakeUser{share: subset.Guess("a"), occupied: make(map[string]bool), retired: make(map[string]bool)}
--- a/daemon/core/metrics.go
+++ b/daemon/core/metrics.go
@@ -73,7 +73,7 @@
 }
 
 // Verdict counts what was not accepted.
-func (m *CoreMetrics) Verdict(v owner.Verdict) {
+func (m *CoreMetrics) Verdict(v owner.Response) {
 	if v.Outcome == owner.Refused || v.Outcome == owner.Unknown {
 		m.refusals.WithLabelValues(v.Reason).Inc()
 	}
@@ -87,7 +87,7 @@
 // WatchFleet registers what placing costs.
 func (m *CoreMetrics) WatchFleet(f *owner.Fleet) {
 	opts := prometheus.CounterOpts{Namespace: Namespace, Name: "placement_looks_total", Help: "Agents looked at to place tasks."}
-	m.Registry.MustRegister(prometheus.NewCounterFunc(opts, func() float64 { return float64(f.Looks()) }))
+	m.Registry.MustRegister(prometheus.NewCounterFunc(opts, func() float64 { return float64(f.AgentsExamined()) }))
 }
 
 // WatchDrains registers what is known of drained failure domains.
--- a/daemon/core/steps.go
+++ b/daemon/core/steps.go
@@ -42,26 +42,26 @@
 
 func (r *Steps) apply(now time.Duration, fx *owner.Effects) {
 	for i := range fx.Orders {
-		o := wire.OrderToWire(now, &fx.Orders[i].What)
+		o := wire.OrderToWire(now, &fx.Orders[i].Value)
 		r.links.Send(fx.Orders[i].Node, func(f *corepb.ToAgent) { f.Orders = append(f.Orders, o) })
 	}
 	for _, s := range fx.Stops {
-		stop := &corepb.Stop{Shard: int32(r.ID), Epoch: r.Epoch, Run: wire.RunToWire(s.What)}
+		stop := &corepb.Stop{Shard: int32(r.ID), Epoch: r.Epoch, Run: wire.RunToWire(s.Value)}
 		r.links.Send(s.Node, func(f *corepb.ToAgent) { f.Stops = append(f.Stops, stop) })
 	}
 	for _, s := range fx.Settled {
-		settled := &corepb.Settled{Shard: int32(r.ID), Run: wire.RunToWire(s.What.Run), Void: s.What.Void}
+		settled := &corepb.Settled{Shard: int32(r.ID), Run: wire.RunToWire(s.Value.Run), Void: s.Value.Void}
 		r.settle(s.Node, settled)
 	}
 	for _, node := range fx.Relinks {
 		r.links.renew(node)
 	}
 	for _, reply := range fx.Replies {
-		r.metrics.Verdict(reply.Verdict)
-		reply.To(reply.Verdict)
+		r.metrics.Verdict(reply.Response)
+		reply.To(reply.Response)
 	}
 	for i := range fx.Log {
-		if fx.Log[i].WantsRoom() {
+		if fx.Log[i].LacksCapacity() {
 			r.links.full(now)
 		}
 		r.log(&fx.Log[i])
@@ -84,26 +84,26 @@
 }
 
 func (r *Steps) log(d *owner.Decision) {
-	r.metrics.decisions.WithLabelValues(d.What).Inc()
+	r.metrics.decisions.WithLabelValues(d.Kind).Inc()
 	if d.Refusal != nil {
 		logRefusal(d)
 	}
-	klog.InfoS("Job", "what", d.What, "id", d.Job, "shard", r.ID, "epoch", r.Epoch, "step", d.Run.Task.Step, "task", d.Run.Task.Index,
+	klog.InfoS("Job", "what", d.Kind, "id", d.Job, "shard", r.ID, "epoch", r.Epoch, "step", d.Run.Task.Step, "task", d.Run.Task.Index,
 		"run", d.Run.Number, "agent", d.Node, "reason", d.Reason, "age", d.Age.Milliseconds(), "wait", d.Wait.Milliseconds(), "count", d.Count)
 }
 
 // logRefusal says what a refusal was decided by, in milliseconds and cores.
 func logRefusal(d *owner.Decision) {
 	r := d.Refusal
-	klog.InfoS("Refusal", "id", d.Job, "reason", d.Reason, "predicted", r.Predicted.Milliseconds(), "here", r.Here.Milliseconds(),
-		"limit", r.Limit.Milliseconds(), "late", r.Late.Milliseconds(), "objective", r.Objective.Milliseconds(), "waited", r.Waited.Milliseconds(),
-		"free", int(r.Free), "cores", int(r.Cores), "news", r.News.Milliseconds())
+	klog.InfoS("Refusal", "id", d.Job, "reason", d.Reason, "predicted", r.PredictedWait.Milliseconds(), "here", r.LocalWait.Milliseconds(),
+		"limit", r.WaitLimit.Milliseconds(), "late", r.LateEnd.Milliseconds(), "objective", r.Objective.Milliseconds(), "waited", r.ClientWaited.Milliseconds(),
+		"free", int(r.FreeCores), "cores", int(r.TotalCores), "news", r.LoadAge.Milliseconds())
 }
 
 // PlaceWaiting has tasks that wait here sent to agents that may have room by now.
 func (r *Steps) PlaceWaiting() {
-	if r.Waiting() {
-		r.Step(r.News)
+	if r.HasWaitingTasks() {
+		r.Step(r.AgentsUpdated)
 	}
 }
 
--- a/daemon/core/wanted.go
+++ b/daemon/core/wanted.go
@@ -26,7 +26,7 @@
 	works := l.worksLocked(wanted)
 	l.mu.Unlock()
 	for node, yes := range works {
-		l.placer.Retire(node, !yes)
+		l.placer.SetRetired(node, !yes)
 	}
 	for node, reg := range dial {
 		l.replace(node, reg, wanted[node])
@@ -180,6 +180,6 @@
 	for _, node := range slices.Concat(gone, idle) {
 		l.Drop(node)
 		// A link that is made anew says for itself whether it gets work.
-		l.placer.Retire(node, false)
+		l.placer.SetRetired(node, false)
 	}
 }
--- a/daemon/entry/asking.go
+++ b/daemon/entry/asking.go
@@ -18,7 +18,7 @@
 // ask puts a question to the shard's owner, and again to the next owner when it
 // changes. Asking twice is safe: jobs are known by their IDs. It gives up when
 // no owner is found for patience, or when the context ends.
-func (e *Entry) ask(ctx context.Context, shard int, patience time.Duration, call func(context.Context, corepb.CoreClient) (*corepb.Verdict, error)) owner.Verdict {
+func (e *Entry) ask(ctx context.Context, shard int, patience time.Duration, call func(context.Context, corepb.CoreClient) (*corepb.Verdict, error)) owner.Response {
 	// sent is set once an owner may have taken the question in.
 	sent := false
 	searching := time.Now()
@@ -57,24 +57,24 @@
 }
 
 // timedOut is the verdict when the client's time limit has passed.
-func timedOut() owner.Verdict {
-	return owner.Verdict{Outcome: owner.Unknown, Reason: owner.ReasonTime, RetryAfter: time.Second}
+func timedOut() owner.Response {
+	return owner.Response{Outcome: owner.Unknown, Reason: owner.ReasonTimeLimit, RetryAfter: time.Second}
 }
 
 // unserved is the verdict when no owner has answered.
-func unserved(sent bool) owner.Verdict {
+func unserved(sent bool) owner.Response {
 	if sent {
-		return owner.Verdict{Outcome: owner.Unknown, Reason: owner.ReasonLost, RetryAfter: time.Second}
+		return owner.Response{Outcome: owner.Unknown, Reason: owner.ReasonOwnerLost, RetryAfter: time.Second}
 	}
-	return owner.Verdict{Outcome: owner.Refused, Reason: owner.ReasonNoOwner, RetryAfter: time.Second}
+	return owner.Response{Outcome: owner.Refused, Reason: owner.ReasonNoOwner, RetryAfter: time.Second}
 }
 
 // Submit hands a job to its owner.
-func (e *Entry) Submit(ctx context.Context, id job.ID, spec *job.Spec, p *job.Policy) owner.Verdict {
+func (e *Entry) Submit(ctx context.Context, id job.ID, spec *job.Spec, p *job.Policy) owner.Response {
 	began := time.Now()
 	shard := id.Shard(e.settings.Shards())
 	m := &corepb.Submission{Shard: int32(shard), Id: string(id), Spec: wire.SpecToWire(spec), Policy: wire.PolicyToWire(p)}
-	var v owner.Verdict
+	var v owner.Response
 	if spec.BestEffort {
 		v = e.submitEffort(ctx, id, spec, p)
 	} else {
@@ -107,7 +107,7 @@
 }
 
 // Lookup asks for a job's state.
-func (e *Entry) Lookup(ctx context.Context, id job.ID) owner.Verdict {
+func (e *Entry) Lookup(ctx context.Context, id job.ID) owner.Response {
 	began := time.Now()
 	shard := id.Shard(e.settings.Shards())
 	v := e.ask(ctx, shard, ownerWait, func(ctx context.Context, c corepb.CoreClient) (*corepb.Verdict, error) {
@@ -121,7 +121,7 @@
 }
 
 // Await asks for what a job has come to, when it has ended.
-func (e *Entry) Await(ctx context.Context, id job.ID) owner.Verdict {
+func (e *Entry) Await(ctx context.Context, id job.ID) owner.Response {
 	shard := id.Shard(e.settings.Shards())
 	return e.ask(ctx, shard, awaitPatience, func(ctx context.Context, c corepb.CoreClient) (*corepb.Verdict, error) {
 		return c.Await(ctx, &corepb.Question{Shard: int32(shard), Id: string(id)})
@@ -129,7 +129,7 @@
 }
 
 // Cancel ends a job.
-func (e *Entry) Cancel(ctx context.Context, id job.ID) owner.Verdict {
+func (e *Entry) Cancel(ctx context.Context, id job.ID) owner.Response {
 	shard := id.Shard(e.settings.Shards())
 	v := e.ask(ctx, shard, ownerWait, func(ctx context.Context, c corepb.CoreClient) (*corepb.Verdict, error) {
 		return c.Cancel(ctx, &corepb.Question{Shard: int32(shard), Id: string(id)})
--- a/daemon/entry/drains.go
+++ b/daemon/entry/drains.go
@@ -27,7 +27,7 @@
 // drainsChanged has nothing more placed in the drained failure domains, and tells all
 // linked agents.
 func (e *Entry) drainsChanged(s drains.State) {
-	e.fleet.Drain(s)
+	e.fleet.SetDrained(s)
 	e.links.Drain(s)
 	e.links.SendAll(func(*corepb.ToAgent) {})
 	known, read := e.links.Domains()
--- a/daemon/entry/effort.go
+++ b/daemon/entry/effort.go
@@ -44,13 +44,13 @@
 }
 
 // submitEffort runs a best-effort job to its end, or until its client has left.
-func (e *Entry) submitEffort(ctx context.Context, id job.ID, spec *job.Spec, p *job.Policy) owner.Verdict {
+func (e *Entry) submitEffort(ctx context.Context, id job.ID, spec *job.Spec, p *job.Policy) owner.Response {
 	e.cover(ctx, spec, p)
 	what := *spec
 	what.Patience = patienceLeft(ctx, time.Now())
-	got := make(chan owner.Verdict, 1)
+	got := make(chan owner.Response, 1)
 	e.effort.Step(func(now time.Duration) owner.Effects {
-		return e.effort.Submit(now, id, what, *p, func(v owner.Verdict) {
+		return e.effort.Submit(now, id, what, *p, func(v owner.Response) {
 			select {
 			case got <- v:
 			default:
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -110,7 +110,7 @@
 func (e *Entry) Required() []string { return e.owners.inUse(bootclock.Now()) }
 
 // Occupied implements linkUser.
-func (e *Entry) Occupied(node string) bool { return e.effort.Occupied(node) }
+func (e *Entry) Occupied(node string) bool { return e.effort.MayHaveRunsAt(node) }
 
 // applyConfig takes up a version unless a newer one is in force: a reader that
 // starts again may see older ones.
@@ -140,7 +140,7 @@
 // its orders. A link alone doesn't say that: with links whose claims were refused an entry
 // that refused every job kept its part of the clients, who would have been served by others.
 func (e *Entry) Ready() bool {
-	return e.table.Load() != nil && e.effort.Reach() > 0
+	return e.table.Load() != nil && e.effort.ReachableAgents() > 0
 }
 
 // Agents returns what is known of the agents.
@@ -170,7 +170,7 @@
 
 // LinkDown implements peer.LinkHandler.
 func (e *Entry) LinkDown(node string, session int64) {
-	e.fleet.Lost(node)
+	e.fleet.LinkLost(node)
 	e.effort.LinkDown(node, session)
 	e.owners.lost(node)
 }
--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -142,18 +142,18 @@
 }
 
 // notOwner answers questions about shards.
-var notOwner = owner.Verdict{Outcome: owner.NotOwner, Reason: owner.ReasonTakeover}
+var notOwner = owner.Response{Outcome: owner.NotOwner, Reason: owner.ReasonOwnerChanged}
 
-func (a *fakeAgent) Submit(_ int, _ job.ID, _ job.Spec, _ job.Policy, reply func(owner.Verdict)) {
+func (a *fakeAgent) Submit(_ int, _ job.ID, _ job.Spec, _ job.Policy, reply func(owner.Response)) {
 	reply(notOwner)
 }
-func (a *fakeAgent) Lookup(int, job.ID) owner.Verdict { return notOwner }
-func (a *fakeAgent) Cancel(_ int, _ job.ID, reply func(owner.Verdict)) {
+func (a *fakeAgent) Lookup(int, job.ID) owner.Response { return notOwner }
+func (a *fakeAgent) Cancel(_ int, _ job.ID, reply func(owner.Response)) {
 	reply(notOwner)
 }
-func (a *fakeAgent) Await(int, job.ID, func(owner.Verdict)) {}
+func (a *fakeAgent) Await(int, job.ID, func(owner.Response)) {}
 
-func (a *fakeAgent) Pending(string) owner.Verdict { return owner.Verdict{} }
+func (a *fakeAgent) Pending(string) owner.Response { return owner.Response{} }
 
 // newTestEntry returns an entry with a link to each agent, all up.
 func newTestEntry(t *testing.T, agents ...*fakeAgent) *Entry {
@@ -185,10 +185,10 @@
 	a := startFakeAgent(t)
 	e := newTestEntry(t, a)
 	ctx, leave := context.WithCancel(context.Background())
-	got := make(chan owner.Verdict)
+	got := make(chan owner.Response)
 	policy := &job.Policy{Service: "desk"}
 	go func() {
-		var v owner.Verdict
+		var v owner.Response
 		for {
 			v = e.Submit(ctx, testJob, effortSpec(), policy)
 			if v.Reason != owner.ReasonNoWorker {
--- a/daemon/entry/relink_test.go
+++ b/daemon/entry/relink_test.go
@@ -23,11 +23,11 @@
 	a.keepBooks()
 	e := newTestEntry(t, a)
 	policy := &job.Policy{Service: "desk"}
-	coretest.Await(t, func() bool { return e.effort.Reach() == 1 })
+	coretest.Await(t, func() bool { return e.effort.ReachableAgents() == 1 })
 
 	a.breakLink()
 	coretest.Await(t, func() bool { return a.linked() == 2 })
-	coretest.Await(t, func() bool { return e.effort.Reach() == 1 })
+	coretest.Await(t, func() bool { return e.effort.ReachableAgents() == 1 })
 
 	e.links.Drop(a.addr)
 	e.effort.Step(func(now time.Duration) owner.Effects { return e.effort.Tick(now + time.Minute) }) // it is waited out
@@ -37,11 +37,11 @@
 	e.table.Store(&routing.Table{})
 	coretest.Await(t, e.Ready)
 	ctx, leave := context.WithCancel(context.Background())
-	got := make(chan owner.Verdict, 1)
+	got := make(chan owner.Response, 1)
 	go func() { got <- e.submitEffort(ctx, testJob, effortSpec(), policy) }()
 	coretest.Await(t, func() bool { return a.ordered() == 1 || len(got) > 0 })
 	leave()
-	is.Equal((<-got).Reason, owner.ReasonTime) // not that the owner has changed
+	is.Equal((<-got).Reason, owner.ReasonTimeLimit) // not that the owner has changed
 	is.Equal(a.ordered(), 1)
 }
 
--- a/protocol/core/messages.go
+++ b/protocol/core/messages.go
@@ -120,7 +120,7 @@
 		Backlog:  time.Duration(p.GetBacklogUs()) * time.Microsecond,
 		Turnover: time.Duration(p.GetTurnoverUs()) * time.Microsecond,
 		Slowdown: p.GetSlowdown(), Domain: p.GetDomain(), Drained: p.GetDrained(),
-		Accepts: p.GetAccepts(), Seen: p.GetOrdersSeen(), Placers: int(p.GetPlacers()), Suspects: int(p.GetSuspects()),
+		Accepts: p.GetAccepts(), OrdersSeen: p.GetOrdersSeen(), Placers: int(p.GetPlacers()), Suspects: int(p.GetSuspects()),
 		Orders: p.GetOrders(),
 	}
 	for i, us := range p.GetAheadUs() {
@@ -148,7 +148,7 @@
 }
 
 // VerdictToWire returns the wire form of a verdict.
-func VerdictToWire(v owner.Verdict) *corepb.Verdict {
+func VerdictToWire(v owner.Response) *corepb.Verdict {
 	return &corepb.Verdict{
 		Outcome: int32(v.Outcome), Reason: v.Reason, State: int32(v.State),
 		RetryAfterMs: v.RetryAfter.Milliseconds(), Count: int64(v.Count), Known: v.Known,
@@ -157,8 +157,8 @@
 }
 
 // VerdictFromWire is the inverse of VerdictToWire.
-func VerdictFromWire(p *corepb.Verdict) owner.Verdict {
-	return owner.Verdict{
+func VerdictFromWire(p *corepb.Verdict) owner.Response {
+	return owner.Response{
 		Outcome: owner.Outcome(p.GetOutcome()), Reason: p.GetReason(), State: job.State(p.GetState()),
 		RetryAfter: time.Duration(p.GetRetryAfterMs()) * time.Millisecond, Count: int(p.GetCount()), Known: p.GetKnown(),
 		Tasks: tasksFromWire(p.GetTasks(), 0), Failure: p.GetFailure(),
--- a/transport/peer/link_test.go
+++ b/transport/peer/link_test.go
@@ -31,13 +31,13 @@
 	defer a.mu.Unlock()
 	a.caller = c
 }
-func (a *agent) CallerGone(*peer.Caller)                                       {}
-func (a *agent) Complete(_ *peer.Caller, _ *corepb.FromAgent)                  {}
-func (a *agent) Lookup(int, job.ID) owner.Verdict                              { return owner.Verdict{} }
-func (a *agent) Cancel(int, job.ID, func(owner.Verdict))                       {}
-func (a *agent) Await(int, job.ID, func(owner.Verdict))                        {}
-func (a *agent) Pending(string) owner.Verdict                                  { return owner.Verdict{} }
-func (a *agent) Submit(int, job.ID, job.Spec, job.Policy, func(owner.Verdict)) {}
+func (a *agent) CallerGone(*peer.Caller)                                        {}
+func (a *agent) Complete(_ *peer.Caller, _ *corepb.FromAgent)                   {}
+func (a *agent) Lookup(int, job.ID) owner.Response                              { return owner.Response{} }
+func (a *agent) Cancel(int, job.ID, func(owner.Response))                       {}
+func (a *agent) Await(int, job.ID, func(owner.Response))                        {}
+func (a *agent) Pending(string) owner.Response                                  { return owner.Response{} }
+func (a *agent) Submit(int, job.ID, job.Spec, job.Policy, func(owner.Response)) {}
 
 func (a *agent) Frame(_ *peer.Caller, f *corepb.ToAgent) error {
 	a.mu.Lock()
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -29,12 +29,12 @@
 	// Complete adds the agent's news to a frame that is about to be sent.
 	Complete(c *Caller, f *corepb.FromAgent)
 	// Submit, Lookup, Cancel and Pending are questions to an owner.
-	Submit(shard int, id job.ID, spec job.Spec, p job.Policy, reply func(owner.Verdict))
-	Lookup(shard int, id job.ID) owner.Verdict
-	Cancel(shard int, id job.ID, reply func(owner.Verdict))
-	Pending(queue string) owner.Verdict
+	Submit(shard int, id job.ID, spec job.Spec, p job.Policy, reply func(owner.Response))
+	Lookup(shard int, id job.ID) owner.Response
+	Cancel(shard int, id job.ID, reply func(owner.Response))
+	Pending(queue string) owner.Response
 	// Await replies when a job has ended.
-	Await(shard int, id job.ID, reply func(owner.Verdict))
+	Await(shard int, id job.ID, reply func(owner.Response))
 }
 
 // Caller is the far end of a link at the agent.
@@ -120,9 +120,9 @@
 }
 
 // await turns a reply into a return value.
-func await(ctx context.Context, ask func(func(owner.Verdict))) (*corepb.Verdict, error) {
-	got := make(chan owner.Verdict, 1)
-	ask(func(v owner.Verdict) {
+func await(ctx context.Context, ask func(func(owner.Response))) (*corepb.Verdict, error) {
+	got := make(chan owner.Response, 1)
+	ask(func(v owner.Response) {
 		select {
 		case got <- v:
 		default:
@@ -138,7 +138,7 @@
 
 // Submit implements corepb.CoreServer.
 func (s *Server) Submit(ctx context.Context, p *corepb.Submission) (*corepb.Verdict, error) {
-	return await(ctx, func(reply func(owner.Verdict)) {
+	return await(ctx, func(reply func(owner.Response)) {
 		s.handler.Submit(int(p.GetShard()), job.ID(p.GetId()), core.SpecFromWire(p.GetSpec()), core.PolicyFromWire(p.GetPolicy()), reply)
 	})
 }
@@ -150,7 +150,7 @@
 
 // Cancel implements corepb.CoreServer.
 func (s *Server) Cancel(ctx context.Context, p *corepb.Question) (*corepb.Verdict, error) {
-	return await(ctx, func(reply func(owner.Verdict)) {
+	return await(ctx, func(reply func(owner.Response)) {
 		s.handler.Cancel(int(p.GetShard()), job.ID(p.GetId()), reply)
 	})
 }
@@ -162,7 +162,7 @@
 
 // Await implements corepb.CoreServer.
 func (s *Server) Await(ctx context.Context, p *corepb.Question) (*corepb.Verdict, error) {
-	return await(ctx, func(reply func(owner.Verdict)) {
+	return await(ctx, func(reply func(owner.Response)) {
 		s.handler.Await(int(p.GetShard()), job.ID(p.GetId()), reply)
 	})
 }
