--- a/coordination/owner/crash_test.go
+++ b/coordination/owner/crash_test.go
@@ -18,31 +18,31 @@
 }
 
 // lastOrder returns the most recent order.
-func (f *fixture) lastOrder() Placed[worker.Order] { return f.orders[len(f.orders)-1] }
+func (f *fixture) lastOrder() Addressed[worker.Order] { return f.orders[len(f.orders)-1] }
 
 // lostRunState returns the state in which an agent reports that an order's run was lost with
 // its backend server while the given number of runs was on that server.
-func lostRunState(o Placed[worker.Order], suspects int, what worker.Loss) worker.RunState {
+func lostRunState(o Addressed[worker.Order], suspects int, what worker.Loss) worker.RunState {
 	return worker.RunState{
-		Run: o.What.Run, Status: worker.Ended, End: job.Lapsed, Loss: what, Instance: "i-" + o.Node, Suspects: suspects,
+		Run: o.Value.Run, Status: worker.Ended, End: job.Lapsed, Loss: what, Instance: "i-" + o.Node, Suspects: suspects,
 	}
 }
 
 // deliver delivers the state of a run to the shard.
-func (f *fixture) deliver(o Placed[worker.Order], s worker.RunState) {
+func (f *fixture) deliver(o Addressed[worker.Order], s worker.RunState) {
 	f.collect(f.Event(f.now, o.Node, worker.Event{Shard: f.ID, Epoch: f.Epoch, State: s}))
 }
 
 // reportLoss reports that a run was lost with its server, and writes the pending records.
-func (f *fixture) reportLoss(o Placed[worker.Order], suspects int, what worker.Loss) {
+func (f *fixture) reportLoss(o Addressed[worker.Order], suspects int, what worker.Loss) {
 	f.deliver(o, lostRunState(o, suspects, what))
 	f.now += 200 * time.Millisecond
 	f.write()
 }
 
 // reportLossOutcome reports what became of the lost server.
-func (f *fixture) reportLossOutcome(o Placed[worker.Order], what worker.Loss) {
-	f.deliver(o, worker.RunState{Run: o.What.Run, Status: worker.LossNews, Loss: what, Instance: "i-" + o.Node})
+func (f *fixture) reportLossOutcome(o Addressed[worker.Order], what worker.Loss) {
+	f.deliver(o, worker.RunState{Run: o.Value.Run, Status: worker.LossNews, Loss: what, Instance: "i-" + o.Node})
 }
 
 // advance advances the clock in ticks of 50 ms and writes the pending records.
@@ -54,7 +54,7 @@
 }
 
 // submitSingle submits a job of one task and returns its first order.
-func (f *fixture) submitSingle() Placed[worker.Order] {
+func (f *fixture) submitSingle() Addressed[worker.Order] {
 	f.submit(testID, steps(1))
 	f.write()
 	return f.lastOrder()
@@ -70,7 +70,7 @@
 	o := f.submitSingle()
 	for i, want := range cautions {
 		f.is.Equal(len(f.orders), i+1)
-		f.is.Equal(o.What.Caution, want)
+		f.is.Equal(o.Value.Caution, want)
 		f.is.True(!been[o.Node])
 		been[o.Node] = true
 		f.reportLoss(o, 4-i, worker.LossConfirmed)
@@ -102,7 +102,7 @@
 		f.reportLossOutcome(o, worker.LossCleared)
 		f.write()
 		o = f.lastOrder()
-		f.is.Equal(o.What.Caution, worker.Apart) // the outcome was not known when the order was sent
+		f.is.Equal(o.Value.Caution, worker.Apart) // the outcome was not known when the order was sent
 		f.is.Equal(len(f.jobs[testID].rec.Tasks[0].Crashes), 0)
 	}
 	f.event(o, worker.Ended, job.Done)
@@ -119,7 +119,7 @@
 	f.reportLoss(f.lastOrder(), 2, worker.LossConfirmed)
 	f.event(f.lastOrder(), worker.Ended, job.FailedRun)
 	f.write()
-	f.is.Equal(f.lastOrder().What.Caution, worker.NoCaution)
+	f.is.Equal(f.lastOrder().Value.Caution, worker.NoCaution)
 	f.reportLoss(f.lastOrder(), 1, worker.LossConfirmed)
 	f.is.Equal(f.Lookup(testID).State, job.Queued+1) // the job goes on
 	f.event(f.lastOrder(), worker.Ended, job.Done)
@@ -141,7 +141,7 @@
 	second := f.lastOrder()
 	f.reportLoss(neighbour, 2, worker.LossConfirmed)
 	rerun := f.lastOrder()
-	f.is.Equal(rerun.What.Caution, worker.Apart)
+	f.is.Equal(rerun.Value.Caution, worker.Apart)
 	f.reportLoss(second, 1, worker.LossConfirmed)
 	f.is.Equal(f.Lookup(testID).State, job.Failed)
 	f.is.Equal(len(f.jobs["00000000000000bb"].rec.Tasks[0].Crashes), 0)
@@ -152,12 +152,12 @@
 func TestRackThatIsLostGivesUpNoTask(t *testing.T) {
 	f := newCrashFixture(t)
 	f.reportLoss(f.submitSingle(), 4, worker.LossConfirmed)
-	for i := range togetherOthers {
-		f.noteLossLocked(f.now, "rack-"+strconv.Itoa(i), "i")
+	for i := range minCorrelatedLosses {
+		f.recordServerLossLocked(f.now, "rack-"+strconv.Itoa(i), "i")
 	}
 	f.reportLoss(f.lastOrder(), 1, worker.LossConfirmed)
 	f.is.True(!f.Lookup(testID).State.Final())
-	f.is.Equal(f.lastOrder().What.Caution, worker.Alone)
+	f.is.Equal(f.lastOrder().Value.Caution, worker.Alone)
 }
 
 // An owner dies after two servers were lost under a task. The next owner finds the crashes in
@@ -173,7 +173,7 @@
 	next := newCrashFixture(t, &rec)
 	next.advance(100 * time.Millisecond)
 	next.is.Equal(len(next.orders), 1)
-	next.is.Equal(next.lastOrder().What.Caution, worker.Alone)
+	next.is.Equal(next.lastOrder().Value.Caution, worker.Alone)
 	next.reportLoss(next.lastOrder(), 1, worker.LossConfirmed)
 	next.is.Equal(next.Lookup(testID).State, job.Failed)
 	next.is.Equal(len(next.orders), 1)
@@ -210,7 +210,7 @@
 	f.is.Equal(len(f.orders), 4)
 	f.advance(6 * time.Second)
 	f.is.Equal(len(f.orders), 5) // the last loss has been forgotten
-	f.is.Equal(f.lastOrder().What.Caution, worker.NoCaution)
+	f.is.Equal(f.lastOrder().Value.Caution, worker.NoCaution)
 }
 
 // One task of a wide job crashes its servers. The other tasks go on as long as it may be
@@ -221,7 +221,7 @@
 	f.submit(testID, steps(20))
 	f.write()
 	crasher := f.orders[0]
-	index := crasher.What.Run.Task.Index
+	index := crasher.Value.Run.Task.Index
 	f.reportLoss(crasher, 9, worker.LossConfirmed)
 	f.reportLoss(f.lastOrderOfTask(index), 3, worker.LossConfirmed)
 	is.Equal(len(f.stops), 0)
@@ -232,9 +232,9 @@
 }
 
 // lastOrderOfTask returns the most recent order of a task.
-func (f *fixture) lastOrderOfTask(index int) Placed[worker.Order] {
+func (f *fixture) lastOrderOfTask(index int) Addressed[worker.Order] {
 	for i := len(f.orders) - 1; ; i-- {
-		if f.orders[i].What.Run.Task.Index == index {
+		if f.orders[i].Value.Run.Task.Index == index {
 			return f.orders[i]
 		}
 	}
@@ -248,13 +248,13 @@
 	f.reportLoss(f.submitSingle(), 4, worker.LossConfirmed)
 	o := f.lastOrder()
 	f.LinkLost(f.now, o.Node, 1)
-	f.fleet.Lost(o.Node)
+	f.fleet.LinkLost(o.Node)
 	claim, _, fx := f.Linked(f.now, o.Node, 2)
 	f.collect(fx)
 	f.collect(f.Claimed(f.now, o.Node, worker.Claimed{Claim: claim, Lost: []worker.RunState{lostRunState(o, 3, worker.LossConfirmed)}}))
 	f.write()
 	f.is.Equal(len(f.orders), 3)
-	f.is.Equal(f.lastOrder().What.Caution, worker.Alone)
+	f.is.Equal(f.lastOrder().Value.Caution, worker.Alone)
 }
 
 // A task is cleared of one crash while another run of it is active. That run is lost with its
@@ -268,7 +268,7 @@
 	second := f.lastOrder()
 	culprit := []job.Crash{{Node: first.Node, Instance: "i-" + first.Node}}
 	var fx Effects
-	f.acquitNeighboursLocked(f.now, &fx, culprit)
+	f.clearNeighboursLocked(f.now, &fx, culprit)
 	f.collect(fx)
 	f.is.Equal(len(f.jobs[testID].rec.Tasks[0].Crashes), 0)
 	f.LinkLost(f.now, second.Node, 1)
@@ -307,14 +307,14 @@
 	}
 	f.reportLoss(crashed, 4, worker.LossConfirmed)
 	capacity := job.Demand{CPUMillis: 16000, MemoryMB: 65536}
-	busy := AgentLoad{Service: "desk", Capacity: capacity, Accepts: true, Backlog: time.Second, Turnover: 100 * time.Millisecond, Seen: 1 << 20}
+	busy := AgentLoad{Service: "desk", Capacity: capacity, Accepts: true, Backlog: time.Second, Turnover: 100 * time.Millisecond, OrdersSeen: 1 << 20}
 	for i := range busy.Ahead {
 		busy.Ahead[i] = time.Second
 	}
 	f.fleet.Update(f.now, full, busy)
-	f.fleet.Update(f.now, free, AgentLoad{Service: "desk", Capacity: capacity, Free: capacity, Accepts: true, Suspects: 1, Seen: 1 << 20})
+	f.fleet.Update(f.now, free, AgentLoad{Service: "desk", Capacity: capacity, Free: capacity, Accepts: true, Suspects: 1, OrdersSeen: 1 << 20})
 	f.event(f.lastOrder(), worker.Ended, job.NeverRan) // the order is returned
-	f.is.True(f.Waiting())
+	f.is.True(f.HasWaitingTasks())
 	before := len(f.orders)
 	f.submit("00000000000000bb", steps(1))
 	f.write()
@@ -333,7 +333,7 @@
 	f.deliver(second, lostRunState(second, 3, worker.LossConfirmed)) // the loss is not recorded yet
 	f.is.Equal(len(f.orders), 2)
 	var fx Effects
-	f.acquitNeighboursLocked(f.now, &fx, []job.Crash{
+	f.clearNeighboursLocked(f.now, &fx, []job.Crash{
 		{Node: first.Node, Instance: "i-" + first.Node}, {Node: second.Node, Instance: "i-" + second.Node},
 	})
 	f.collect(fx)
