--- a/coordination/owner/events.go
+++ b/coordination/owner/events.go
@@ -179,8 +179,8 @@
 	return fmt.Sprintf("task %d of step %d failed %d times", id.Index, id.Step, rec.Failures)
 }
 
-func (s *Shard) failJobLocked(now time.Duration, fx *Effects, j *jobState, why string) {
-	j.rec.Failure = why
+func (s *Shard) failJobLocked(now time.Duration, fx *Effects, j *jobState, failure string) {
+	j.rec.Failure = failure
 	s.finishJobLocked(now, fx, j, job.Failed)
 }
 
@@ -234,9 +234,9 @@
 }
 
 // settleWhenRecorded schedules a settlement to be sent once the task's record is written.
-func (t *task) settleWhenRecorded(node string, what Settlement) {
-	t.unrecordedRun = what.Run.Number
-	t.unsettled = append(t.unsettled, Addressed[Settlement]{Node: node, Value: what})
+func (t *task) settleWhenRecorded(node string, settlement Settlement) {
+	t.unrecordedRun = settlement.Run.Number
+	t.unsettled = append(t.unsettled, Addressed[Settlement]{Node: node, Value: settlement})
 }
 
 func (s *Shard) settleAllLocked(fx *Effects, j *jobState) {
--- a/coordination/owner/reconcile.go
+++ b/coordination/owner/reconcile.go
@@ -115,10 +115,10 @@
 	fx.settle(node, Settlement{Run: r.Run, Void: r.End == job.Done || r.End == job.FailedRun})
 }
 
-func (fx *Effects) settle(node string, what Settlement) {
-	fx.Settled = append(fx.Settled, Addressed[Settlement]{Node: node, Value: what})
-	if what.Void {
-		fx.log(Decision{Kind: "end_voided", Job: what.Run.Task.Job, Run: what.Run, Node: node})
+func (fx *Effects) settle(node string, settlement Settlement) {
+	fx.Settled = append(fx.Settled, Addressed[Settlement]{Node: node, Value: settlement})
+	if settlement.Void {
+		fx.log(Decision{Kind: "end_voided", Job: settlement.Run.Task.Job, Run: settlement.Run, Node: node})
 	}
 }
 
