--- a/coordination/owner/crash.go
+++ b/coordination/owner/crash.go
@@ -8,11 +8,12 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// When a backend server is lost, each run on it is a suspect, and mostly none of them is the cause.
-// If a job were failed by the mere number of such losses, jobs would fail that had only run beside
-// a task that crashes its server. So after one loss a task next runs apart from other suspects, and
-// after two it runs alone. A run that ends clears its task of suspicion, and once a task is
-// identified as the cause of a crash, the tasks that ran beside it are cleared of that crash.
+// When a backend server is lost, each run on it is a suspect, and usually none of them is the
+// cause. If jobs were failed by the mere number of such losses, some would fail that had only run
+// beside a task that crashes its server. So after one loss a task next runs apart from other
+// suspects, and after two it runs alone. A run that ends clears its task of suspicion, and once a
+// task is identified as the cause of a crash, the tasks that ran beside it are cleared of that
+// crash.
 //
 // A task is given up if it was the only run on the second server that was lost, or if three servers
 // were lost under it. A loss counts once another instance has come up beside an agent that kept
@@ -25,7 +26,8 @@
 
 const (
 	// aloneCrashLimit is the number of lost servers at which a task is given up if it was the only
-	// run on the last of them.
+	// run on the last of them. It is also the number of confirmed crashes with which a task is
+	// given up once MaxCrashes servers were lost under it.
 	aloneCrashLimit = 2
 	// minCrashesToRecord is the number of lost servers from which on a task is started again only
 	// after its crashes are recorded.
--- a/coordination/owner/params.go
+++ b/coordination/owner/params.go
@@ -13,6 +13,7 @@
 	SlackShare float64
 	// PriorityFactor is multiplied with the wait that a job may be accepted with, once for each
 	// step of its priority value, so that less urgent jobs are refused first when workers fill up.
+	// Priority 0 is the most urgent.
 	PriorityFactor float64
 	// PrioritySteps is the highest priority value that makes a difference, on a scale that goes to
 	// 100.
@@ -22,8 +23,9 @@
 	MinWaitLimit time.Duration
 
 	// LateFactor is how long after its submission an answer is still of use, as a multiple of the
-	// job's objective. Best-effort jobs that can't be in time are accepted as late for that long;
-	// jobs in time are placed before them. Zero refuses jobs that can't be in time.
+	// job's objective. Best-effort jobs that can't be in time are accepted as late if they are
+	// predicted to end well within that time; jobs in time are placed before them. Zero refuses
+	// jobs that can't be in time.
 	LateFactor float64
 	// LateShare is the share of that time within which a late job must be predicted to end.
 	LateShare float64
