--- a/protocol/api/answer.go
+++ b/protocol/api/answer.go
@@ -9,20 +9,20 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// Answer is the body of a 200: a complete job, a pending one, or what became
-// of a cancelled one.
+// Answer is the body of a response with status 200: a complete job, a pending
+// job, or the result of a cancellation.
 type Answer struct {
 	ID      string  `json:"id"`
 	Outcome Outcome `json:"outcome"`
-	// Reason is set on an answer to a cancellation only.
+	// Reason is set only in the answer to a cancellation.
 	Reason state.Reason `json:"reason,omitempty"`
-	// Results are the tasks' results in task order, as the backend servers
-	// returned them. They are set when Outcome is complete.
+	// Results holds one result per task in task order, as the backend servers
+	// returned them. It is set only if Outcome is complete.
 	Results []json.RawMessage `json:"results,omitempty"`
 	Stats   *Stats            `json:"stats,omitempty"`
 }
 
-// Stats is state.Stats in milliseconds.
+// Stats is state.Stats with its durations in milliseconds.
 type Stats struct {
 	LongestMS float64 `json:"longest_ms"`
 	TotalMS   float64 `json:"total_ms"`
@@ -30,24 +30,26 @@
 	ElapsedMS float64 `json:"elapsed_ms"`
 }
 
-// CancelledOf turns the answer to the cancellation of a job into its document.
+// CancelledOf converts the answer to a successful cancellation. Its outcome is
+// failed and its reason is cancelled.
 func CancelledOf(a state.Answer) Answer {
 	return Answer{ID: a.Key.ID, Outcome: Outcome(a.Outcome), Reason: a.Reason}
 }
 
-// AnswerOf turns a complete, pending or cancelled answer into its document.
-// tasks is how many results make a complete answer, or negative where the
-// asker doesn't know. It fails on an answer that would be partial.
+// AnswerOf converts the answer for a complete, pending or cancelled job. tasks is
+// the number of results that a complete answer must have, or negative if it is
+// unknown. AnswerOf returns an error for a complete answer that has no results,
+// a number of results other than tasks, or a result that is not JSON.
 func AnswerOf(a state.Answer, tasks int) (Answer, error) {
 	out := Answer{ID: a.Key.ID, Outcome: Outcome(a.Outcome), Reason: a.Reason}
 	if a.Outcome != state.Complete {
 		return out, nil
 	}
 	if tasks >= 0 && len(a.Results) != tasks {
-		return Answer{}, errors.Errorf("%d results for %d tasks", len(a.Results), tasks)
+		return Answer{}, errors.Errorf("complete answer has %d results for %d tasks", len(a.Results), tasks)
 	}
 	if len(a.Results) == 0 {
-		return Answer{}, errors.New("no results")
+		return Answer{}, errors.New("complete answer without results")
 	}
 	for i, r := range a.Results {
 		raw, err := resultValue(r)
@@ -60,14 +62,13 @@
 	return out, nil
 }
 
-// resultValue returns a result as JSON; a backend server that returns nothing
-// returns null.
+// resultValue returns a result as JSON, with null for an empty result.
 func resultValue(payload []byte) (json.RawMessage, error) {
 	if len(payload) == 0 {
 		return json.RawMessage("null"), nil
 	}
 	if !json.Valid(payload) {
-		return nil, errors.New("the result is not JSON")
+		return nil, errors.New("result is not valid JSON")
 	}
 	return payload, nil
 }
--- a/protocol/api/answer_test.go
+++ b/protocol/api/answer_test.go
@@ -10,8 +10,8 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// An answer has too few results, too many, or one that is no JSON. The caller
-// must get a result for each task or none at all.
+// A complete answer with too few results, too many, or one that is not JSON must
+// be rejected: the caller gets a result for every task or an error.
 func TestAnswerIsWholeOrNone(t *testing.T) {
 	is := is.New(t)
 	raw := func(values ...string) [][]byte {
@@ -38,7 +38,7 @@
 	} {
 		a.Results = results
 		if _, err := AnswerOf(a, 2); err == nil {
-			t.Errorf("%s: not withheld", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
@@ -59,8 +59,8 @@
 
 	is.True(ProblemOf(state.Answer{Outcome: state.Complete}) == nil)
 	is.True(ProblemOf(state.Answer{Outcome: state.Pending}) == nil)
-	// An answer that doesn't say why, and a problem that doesn't say how far it
-	// came, are never taken for "not run".
+	// A failed answer without a reason becomes an internal error, and a problem
+	// document without an outcome is read as unknown. Neither is read as "not run".
 	is.Equal(ProblemOf(state.Answer{Outcome: state.Failed}).Reason, state.ReasonInternal)
 	is.NoErr(json.Unmarshal([]byte(`{"title":"Bad gateway"}`), &back))
 	is.Equal(back.Outcome, state.Unknown)
@@ -81,6 +81,6 @@
 	is.Equal(v, state.Version(17))
 	for _, bad := range []string{"", "*", "17", `"17`, `W/"17"`, `"-1"`, `"+1"`, `"017"`, `"1","2"`, `"x"`} {
 		_, ok := ParseETag(bad)
-		is.True(!ok) // refused
+		is.True(!ok) // rejected
 	}
 }
--- a/protocol/api/body.go
+++ b/protocol/api/body.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Body returns the submission as the body of a POST. Payloads go out byte for
-// byte: another spelling of the same value would have another digest, and a
-// resubmission would be refused as another job under the same id.
+// Body returns the submission as the body of a POST request. Payloads are copied
+// byte for byte: the digest covers their bytes, so a resubmission with another
+// encoding of the same value would be refused as an id conflict.
 func (s *Submission) Body() []byte {
 	b := append([]byte(nil), `{"id":`...)
 	b = appendText(b, s.Job.Key.ID)
@@ -48,7 +48,8 @@
 	return appendWhole(b, name, d.Milliseconds())
 }
 
-// appendWhole leaves out zero, which means not stated.
+// appendWhole appends an integer field. It omits zero, which means that the
+// caller did not set the field.
 func appendWhole(b []byte, name string, n int64) []byte {
 	if n == 0 {
 		return b
@@ -62,7 +63,7 @@
 func appendText(b []byte, s string) []byte {
 	text, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // a string always has a JSON form
+		panic(err) // marshalling a string never fails
 	}
 	return append(b, text...)
 }
--- a/protocol/api/document.go
+++ b/protocol/api/document.go
@@ -11,73 +11,74 @@
 // Declaration is an operator's declaration in force.
 type Declaration struct {
 	Version state.Version
-	// Raw is the file as the operator wrote it.
+	// Raw is the declaration file, byte for byte as the operator submitted it.
 	Raw []byte
 }
 
-// HistoryEntry is one declaration that was applied.
+// HistoryEntry describes one applied declaration.
 type HistoryEntry struct {
 	Version state.Version `json:"version"`
-	// Base is the version that it was to replace.
+	// Base is the version that the declaration replaced.
 	Base state.Version `json:"base"`
-	// By is the entry that it was handed in at, At the time.
+	// By is the name of the entry that applied the declaration, and At is when.
 	By string    `json:"by"`
 	At time.Time `json:"at"`
-	// Digest is the SHA-256 of the file, in hexadecimal.
+	// Digest is the SHA-256 of the file in hexadecimal.
 	Digest string `json:"digest"`
 }
 
-// History is the answer to a question for an operator's history, newest last.
-// Only the last ones are kept.
+// History lists an operator's most recent declarations, newest last. Older ones
+// are dropped.
 type History struct {
 	Operator string         `json:"operator"`
 	Entries  []HistoryEntry `json:"entries"`
 }
 
-// OperatorVersion is an operator's version in force.
+// OperatorVersion is the version of an operator's declaration in force.
 type OperatorVersion struct {
 	Operator string        `json:"operator"`
 	Version  state.Version `json:"version"`
 	Services []string      `json:"services,omitempty"`
 }
 
-// Applied is the answer to an accepted declaration.
+// Applied is the response to an accepted declaration.
 type Applied struct {
 	Operator string        `json:"operator"`
 	Version  state.Version `json:"version"`
 	Outcome  Outcome       `json:"outcome"`
 }
 
-// Drain is a failure domain as the entry knows it.
+// Drain is the drain state of a failure domain as the entry knows it.
 type Drain struct {
 	Domain  string `json:"domain"`
 	Drained bool   `json:"drained"`
-	// Agents counts those that are known there.
+	// Agents is the number of known agents in the domain.
 	Agents int `json:"agents"`
 }
 
-// DrainList is the answer to a question for all failure domains.
+// DrainList holds the drain state of all known failure domains.
 type DrainList struct {
 	Domains []Drain `json:"domains"`
 }
 
-// DrainEntry is a drain, or the end of one, that was asked for.
+// DrainEntry describes one change of a failure domain's drain state.
 type DrainEntry struct {
 	Version state.Version `json:"version"`
 	Drained bool          `json:"drained"`
-	// By is the entry that it was asked for at, At the time.
+	// By is the name of the entry that made the change, and At is when.
 	By string    `json:"by"`
 	At time.Time `json:"at"`
 }
 
-// DrainHistory is the answer to a question for a failure domain's drains, newest last. Only
-// the last ones are kept.
+// DrainHistory lists a failure domain's most recent drain changes, newest last.
+// Older ones are dropped.
 type DrainHistory struct {
 	Domain  string       `json:"domain"`
 	Entries []DrainEntry `json:"entries"`
 }
 
-// DrainSet is the answer to a drain that was set or ended.
+// DrainSet is the response to a request that drains a failure domain or ends its
+// drain.
 type DrainSet struct {
 	Domain  string        `json:"domain"`
 	Drained bool          `json:"drained"`
@@ -85,19 +86,20 @@
 	Outcome Outcome       `json:"outcome"`
 }
 
-// Status is what one entry knows of the system. It is one process's view and
-// may lag behind another's.
+// Status is one entry's view of the system. It may be older than the view of
+// another entry.
 type Status struct {
 	Node     string `json:"node"`
 	Software string `json:"software"`
 	Ready    bool   `json:"ready"`
-	// DrainedDomains are the failure domains in which nothing is newly started.
+	// DrainedDomains are the failure domains in which no new tasks are started.
 	DrainedDomains []string          `json:"drained_domains"`
 	Agents         []Agent           `json:"agents"`
 	Declarations   []OperatorVersion `json:"declarations"`
 }
 
-// Agent is an agent with its backend server, as it was said AgeMS ago.
+// Agent is the state of an agent and its backend server, as last reported AgeMS
+// milliseconds ago.
 type Agent struct {
 	Name         string  `json:"name"`
 	Domain       string  `json:"domain"`
@@ -106,11 +108,11 @@
 	FreeCores    float64 `json:"free_cores"`
 	MemoryMB     int64   `json:"memory_mb"`
 	Accelerators int64   `json:"accelerators"`
-	// Accepts says that it takes new work.
+	// Accepts reports whether the agent accepts new work.
 	Accepts bool `json:"accepts"`
-	// Drained says that its failure domain is drained.
+	// Drained reports whether the agent's failure domain is drained.
 	Drained bool `json:"drained"`
-	// WaitingMS is the work that waits there, in milliseconds of one core.
+	// WaitingMS is the queued work, in milliseconds of one core.
 	WaitingMS int64 `json:"waiting_ms"`
 	AgeMS     int64 `json:"age_ms"`
 }
@@ -120,8 +122,8 @@
 	return `"` + strconv.FormatInt(int64(v), 10) + `"`
 }
 
-// ParseETag reads an entity tag that ETag wrote. Weak tags, lists and the
-// wildcard are no versions.
+// ParseETag parses an entity tag in the exact form that ETag returns. It rejects
+// weak tags, lists and the wildcard.
 func ParseETag(tag string) (state.Version, bool) {
 	inner, ok := strings.CutPrefix(tag, `"`)
 	if !ok {
@@ -138,5 +140,6 @@
 	return state.Version(v), true
 }
 
-// EncodeDocument returns any of this package's documents as JSON.
+// EncodeDocument encodes any document of this package as JSON, ending with a
+// newline.
 func EncodeDocument(v any) ([]byte, error) { return marshal(v) }
--- a/protocol/api/name.go
+++ b/protocol/api/name.go
@@ -8,8 +8,8 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// checkName refuses an id or a name that two programs might read differently:
-// one of them would then ask for another job, or start the same one again.
+// checkName rejects an id or a name that two programs could read differently.
+// One of them would then query another job, or start the same job again.
 func checkName(field, s string) *Problem {
 	if s == "" {
 		return malformed("%s is missing or empty", field)
@@ -17,8 +17,8 @@
 	if len(s) > state.MaxIDLength {
 		return malformed("%s is longer than %d bytes", field, state.MaxIDLength)
 	}
-	// U+FFFD is what decoders put in place of bytes they can't read: two
-	// different ids would become the same one.
+	// Decoders replace invalid bytes by U+FFFD, which would map two different
+	// ids to the same one.
 	if !utf8.ValidString(s) || strings.ContainsRune(s, utf8.RuneError) {
 		return malformed("%s is not valid UTF-8", field)
 	}
@@ -31,9 +31,9 @@
 	return checkSegments(field, s)
 }
 
-// checkSegments refuses "." and ".." as path segments: a proxy on the way
-// would drop them from GET /v1/services/{service}/jobs/{id} and so ask for
-// another job.
+// checkSegments rejects "." and ".." as path segments. A proxy would remove them
+// from GET /v1/services/{service}/jobs/{id}, and the request would name another
+// job.
 func checkSegments(field, s string) *Problem {
 	for segment := range strings.SplitSeq(s, "/") {
 		if segment == "." || segment == ".." {
@@ -43,16 +43,16 @@
 	return nil
 }
 
-// CheckID refuses an id that can't stand for a job.
+// CheckID rejects an invalid job id.
 func CheckID(id string) *Problem { return checkName("id", id) }
 
-// CheckService refuses a name that can't stand for a service.
+// CheckService rejects an invalid service name.
 func CheckService(name string) *Problem { return checkPlainName("service", name) }
 
-// CheckOperator refuses a name that can't stand for an operator.
+// CheckOperator rejects an invalid operator name.
 func CheckOperator(name string) *Problem { return checkPlainName("operator", name) }
 
-// CheckDomain refuses a name that can't stand for a failure domain.
+// CheckDomain rejects an invalid failure domain name.
 func CheckDomain(name string) *Problem { return checkPlainName("failure domain", name) }
 
 func checkPlainName(field, name string) *Problem {
--- a/protocol/api/outcome.go
+++ b/protocol/api/outcome.go
@@ -6,7 +6,7 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// Outcome is a state.Outcome that stands in JSON by its name.
+// Outcome is a state.Outcome that is encoded in JSON by its name.
 type Outcome state.Outcome
 
 // MarshalText returns the outcome's name.
@@ -14,7 +14,8 @@
 	return []byte(state.Outcome(o).String()), nil
 }
 
-// UnmarshalText reads the outcome's name. It fails on a name it doesn't know.
+// UnmarshalText parses the outcome's name. It returns an error for an unknown
+// name.
 func (o *Outcome) UnmarshalText(text []byte) error {
 	for c := state.Pending; c <= state.Unknown; c++ {
 		if c.String() == string(text) {
--- a/protocol/api/problem.go
+++ b/protocol/api/problem.go
@@ -1,7 +1,7 @@
-// Package api holds the JSON documents that callers and operators exchange
-// with an entry over HTTP: submissions, answers, problem documents (RFC 9457),
-// declarations and the status. Decoding is strict, because a field that is
-// silently ignored or read twice may start the wrong work.
+// Package api defines the JSON documents that clients and operators exchange with
+// an entry over HTTP: submissions, answers, problem documents (RFC 9457),
+// declarations, drains and the status. Submissions are decoded strictly, because
+// a field that is silently ignored or given twice may start the wrong work.
 package api
 
 import (
@@ -14,29 +14,32 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// Media types of the bodies.
+// Media types of request and response bodies.
 const (
 	ContentTypeJSON    = "application/json"
 	ContentTypeProblem = "application/problem+json"
 )
 
-// problemTypePrefix begins every problem's type URI; the reason ends it.
+// problemTypePrefix is the part of a problem's type URI before the reason.
 const problemTypePrefix = "urn:shallotstep:problem:"
 
-// Problem is a refusal or a failure as the caller sees it.
+// Problem describes a refusal or a failure to the caller.
 type Problem struct {
-	// Type is a URI that names the reason; Title says the same to a person.
+	// Type is a URI that identifies the reason, and Title describes the reason
+	// for people.
 	Type   string
 	Title  string
 	Status int
 	Detail string
-	// ID is the caller's id of the submission, where it is known.
+	// ID is the id of the submission, if known.
 	ID      string
 	Outcome state.Outcome
 	Reason  state.Reason
-	// RetryAfter is when coming back makes sense. Zero means it doesn't help.
+	// RetryAfter is the time to wait before a retry. Zero means that a retry
+	// doesn't help.
 	RetryAfter time.Duration
-	// Version is the declaration in force, on a refused declaration.
+	// Version is the version in force. It is set only if a declaration is
+	// refused.
 	Version state.Version
 }
 
@@ -52,14 +55,14 @@
 	}
 }
 
-// malformed refuses a submission that no entry would ever accept, so that "not
-// run" is certain.
+// malformed returns the problem for input that every entry refuses. Its outcome
+// is NotRun, because no entry can have accepted such a submission.
 func malformed(format string, args ...any) *Problem {
 	return NewProblem(state.ReasonMalformed, state.NotRun, format, args...)
 }
 
-// ProblemOf returns the problem that an answer stands for, or nil for an
-// answer that is complete or still pending.
+// ProblemOf returns the problem document for an answer, or nil if the answer is
+// complete or pending.
 func ProblemOf(a state.Answer) *Problem {
 	if a.Outcome == state.Complete || a.Outcome == state.Pending {
 		return nil
@@ -74,8 +77,8 @@
 }
 
 // RetryAfterSeconds returns the value of the Retry-After header, rounded up
-// because the header knows whole seconds only. It is empty where coming back
-// doesn't help.
+// because the header has whole seconds only. It is empty if a retry doesn't
+// help.
 func (p *Problem) RetryAfterSeconds() string {
 	if p.RetryAfter <= 0 {
 		return ""
@@ -93,7 +96,7 @@
 	return s
 }
 
-// problemWire is the problem as it stands in JSON.
+// problemWire is the JSON form of a Problem.
 type problemWire struct {
 	Type         string        `json:"type"`
 	Title        string        `json:"title"`
@@ -106,7 +109,7 @@
 	Version      state.Version `json:"version,omitempty"`
 }
 
-// MarshalJSON writes the problem with its extension members.
+// MarshalJSON encodes the problem with its extension members.
 func (p *Problem) MarshalJSON() ([]byte, error) {
 	return marshal(problemWire{
 		Type:         p.Type,
@@ -121,8 +124,9 @@
 	})
 }
 
-// UnmarshalJSON reads a problem. A problem without an outcome counts as
-// unknown: whoever wrote it knows nothing of this contract.
+// UnmarshalJSON decodes a problem. The outcome of a problem without one is
+// unknown: it was written by a program that doesn't implement this interface,
+// such as a proxy.
 func (p *Problem) UnmarshalJSON(data []byte) error {
 	w := problemWire{Outcome: Outcome(state.Unknown)}
 	if err := json.Unmarshal(data, &w); err != nil {
@@ -143,13 +147,12 @@
 }
 
 // wholeMS returns d in milliseconds, rounded up so that a short wait doesn't
-// become none.
+// become zero.
 func wholeMS(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
 
-// marshal is json.Marshal without escaping for HTML pages, and ends with a
-// newline.
+// marshal encodes v as JSON without HTML escaping, ending with a newline.
 func marshal(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	enc := json.NewEncoder(&buf)
--- a/protocol/api/read.go
+++ b/protocol/api/read.go
@@ -12,23 +12,24 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// reader walks one JSON text field by field. The standard decoder alone takes
-// the last of two equal keys, matches names in any case and reads null as
-// nothing; each of these would let two programs read two different jobs from
-// the same bytes.
+// reader decodes one JSON text field by field. json.Unmarshal accepts duplicate
+// keys and takes the last one, matches names regardless of case, and treats null
+// as absent. Each of these would let two programs read different jobs from the
+// same bytes.
 type reader struct {
 	dec *json.Decoder
-	// at names the object that is being read; it is empty for the whole body.
+	// at is the path of the object being read. It is empty for the whole body.
 	at string
-	// scratch is the raw text of the latest scalar.
+	// scratch holds the raw text of the last scalar read.
 	scratch json.RawMessage
 }
 
-// maxFields is more than any document here has. It keeps the search for
-// duplicates short.
+// maxFields bounds the fields of one object, and with it the linear search for
+// duplicates. No document of this package has as many.
 const maxFields = 16
 
-// newReader refuses bodies that are too large or no UTF-8.
+// newReader returns a reader of body. It rejects a body that is too large or not
+// valid UTF-8.
 func newReader(body []byte) (*reader, *Problem) {
 	if len(body) > state.MaxBodyBytes {
 		return nil, TooLarge()
@@ -39,7 +40,7 @@
 	return &reader{dec: json.NewDecoder(bytes.NewReader(body))}, nil
 }
 
-// TooLarge is the refusal of a body over state.MaxBodyBytes.
+// TooLarge returns the problem for a body over state.MaxBodyBytes.
 func TooLarge() *Problem {
 	return NewProblem(state.ReasonTooLarge, state.NotRun, "the body is over %d bytes", state.MaxBodyBytes)
 }
@@ -51,8 +52,8 @@
 	return malformed("the body is not JSON: %v", err)
 }
 
-// object reads an object and calls field for each name, which must read the
-// value. at names the object in errors.
+// object reads an object and calls field for each name; field must read the
+// value. at is the path of the object in error messages.
 func (r *reader) object(at string, field func(name string) *Problem) *Problem {
 	if p := r.open(at, '{', "an object"); p != nil {
 		return p
@@ -84,8 +85,8 @@
 	return r.close()
 }
 
-// array reads the array of a field and calls element for each index, which
-// must read the value.
+// array reads an array field and calls element for each index; element must read
+// the value.
 func (r *reader) array(name string, element func(i int) *Problem) *Problem {
 	if p := r.open(r.path(name), '[', "an array"); p != nil {
 		return p
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// end refuses anything after the value.
+// end rejects anything after the value.
 func (r *reader) end() *Problem {
 	if _, err := r.dec.Token(); err != io.EOF {
 		return malformed("the body holds more than one JSON value")
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// scalar reads one value into the scratch space.
+// scalar reads one value into r.scratch.
 func (r *reader) scalar() *Problem {
 	if err := r.dec.Decode(&r.scratch); err != nil {
 		return syntax(err)
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// whole reads a whole number from 0 to limit.
+// whole reads an integer from 0 to limit.
 func (r *reader) whole(name string, limit int64, out *int64) *Problem {
 	if p := r.scalar(); p != nil {
 		return p
@@ -185,19 +186,19 @@
 	if p := r.scalar(); p != nil {
 		return p
 	}
-	// ParseFloat also knows NaN, Inf and hexadecimal, but no JSON decoder has
-	// let one of these come so far. Strings and null fail here.
+	// ParseFloat also accepts NaN, Inf and hexadecimal, but the JSON decoder has
+	// rejected these already. Strings and null fail here.
 	f, err := strconv.ParseFloat(string(r.scratch), 64)
 	if err != nil || math.IsNaN(f) || f < 0 || f > limit {
 		return malformed("%s must be a number from 0 to %g", r.path(name), limit)
 	}
-	// Adding zero turns -0 into 0, which has another bit pattern and would
-	// give the same job another digest.
+	// Adding zero turns -0 into 0. The two have different bit patterns, so -0
+	// would give the same job another digest.
 	*out = f + 0
 	return nil
 }
 
-// value reads any value but null, as it came.
+// value reads the raw text of any value except null.
 func (r *reader) value(name string, out *[]byte) *Problem {
 	var raw json.RawMessage
 	if err := r.dec.Decode(&raw); err != nil {
@@ -210,8 +211,7 @@
 	return nil
 }
 
-// path names a field of the object that is being read. It is put together for
-// errors only.
+// path returns the path of a field of the object being read, for error messages.
 func (r *reader) path(name string) string {
 	if r.at == "" {
 		return name
--- a/protocol/api/submission.go
+++ b/protocol/api/submission.go
@@ -7,10 +7,10 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// Limits on what a task may declare. They are far above any worker, so that a
-// number beyond them is a mistake in the client and not a wish.
+// Limits on what a submission may declare. They are far above the capacity of any
+// worker, so a larger number is a mistake in the client.
 const (
-	// MaxDeadline bounds how long a caller may ask to wait.
+	// MaxDeadline bounds the deadline of a submission.
 	MaxDeadline = time.Hour
 	// MaxExpected bounds the declared run time of one task.
 	MaxExpected     = time.Hour
@@ -19,50 +19,50 @@
 	MaxAccelerators = 1024
 )
 
-// Kind says which of the two ways a submission goes.
+// Kind tells whether a submission is a job or a request.
 type Kind string
 
-// The kinds.
+// Kinds of submissions. A request has exactly one task.
 const (
 	KindJob     Kind = "job"
 	KindRequest Kind = "request"
 )
 
-// Submission is a job or a request as its caller states it.
+// Submission is a job or a request as the caller submitted it.
 type Submission struct {
 	Kind Kind
 	Job  state.Job
-	// Deadline is how long the caller waits. Zero means not stated.
+	// Deadline is how long the caller waits. Zero means that none was given.
 	Deadline time.Duration
-	// RepeatableStated says that a request says itself whether it is
-	// repeatable.
+	// RepeatableStated reports whether a request gives a value for "repeatable".
 	RepeatableStated bool
 }
 
-// DecodeJob reads the body of a POST to a service's jobs. headerKey is the
-// Idempotency-Key header, which stands for the id where the body has none.
-// A problem means that nothing was accepted.
+// DecodeJob decodes the body of a POST to a service's jobs. headerKey is the value
+// of the Idempotency-Key header; it is the id if the body has none. A non-nil
+// problem means that the submission is not accepted.
 func DecodeJob(service, headerKey string, body []byte) (state.Job, time.Duration, *Problem) {
 	s, p := Decode(KindJob, service, headerKey, body)
 	return s.Job, s.Deadline, p
 }
 
-// DecodeRequest reads the body of a POST to a service's requests, which holds
-// one task.
+// DecodeRequest decodes the body of a POST to a service's requests, which has one
+// task. headerKey is as for DecodeJob.
 func DecodeRequest(service, headerKey string, body []byte) (state.Job, time.Duration, *Problem) {
 	s, p := Decode(KindRequest, service, headerKey, body)
 	return s.Job, s.Deadline, p
 }
 
-// Decode is DecodeJob or DecodeRequest, by kind.
+// Decode decodes the body of a job or a request, as DecodeJob and DecodeRequest
+// do.
 func Decode(kind Kind, service, headerKey string, body []byte) (Submission, *Problem) {
 	s := Submission{Kind: kind}
 	p := s.decode(service, headerKey, body)
 	return s, p
 }
 
-// DecodeFile reads a job file: the body of a POST with "service" and "kind"
-// beside its own fields. A service that isn't empty goes before the file's.
+// DecodeFile decodes a job file: the body of a POST with the additional fields
+// "service" and "kind". A non-empty service overrides the one in the file.
 func DecodeFile(service string, body []byte) (Submission, *Problem) {
 	kind, p := fileKind(body)
 	if p != nil {
@@ -119,9 +119,9 @@
 type decoder struct {
 	*reader
 	sub *Submission
-	// file says that service and kind stand in the body.
+	// file reports whether the body is a job file, which has a service and a kind.
 	file bool
-	// hasID says that the body holds an id, be it empty.
+	// hasID reports whether the body has an id, which may be empty.
 	hasID bool
 }
 
@@ -161,7 +161,7 @@
 	case "service":
 		return d.text(name, &d.sub.Job.Key.Service), true
 	case "kind":
-		// fileKind has read it.
+		// fileKind has already read the value.
 		return d.scalar(), true
 	}
 	return nil, false
@@ -190,7 +190,7 @@
 	return d.unknown(name)
 }
 
-// task reads one task and adds it to the job.
+// task reads one task and appends it to the job's tasks.
 func (d *decoder) task(at string) *Problem {
 	var t state.Task
 	p := d.object(at, func(name string) *Problem { return d.taskField(name, &t) })
@@ -233,8 +233,8 @@
 	return nil
 }
 
-// fileKind finds the kind of a job file before its fields are read, because
-// the kind decides which fields there are.
+// fileKind returns the kind of a job file. It reads the file ahead of the decoder,
+// because the kind decides which fields are allowed.
 func fileKind(body []byte) (Kind, *Problem) {
 	r, p := newReader(body)
 	if p != nil {
--- a/protocol/api/submission_test.go
+++ b/protocol/api/submission_test.go
@@ -16,7 +16,7 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 const goodJob = `{"id":"j1","deadline_ms":2500,"tasks":[
   {"payload": {"doll": 7},"cores":0.5,"memory_mb":64,"accelerators":1,"expected_ms":120},
@@ -26,10 +26,11 @@
 	return `{"id":"j1","tasks":[` + strings.TrimSuffix(strings.Repeat(`{"payload":1},`, n), ",") + `]}`
 }
 
-// A caller sends a body that two programs could read differently, or that no
-// worker could ever serve. It must be turned away before anything is claimed:
-// whatever slips through here starts wrong work, or the same work under two
-// ids. testdata/refused.golden holds kind, header key, body and detail.
+// A body that two programs could read differently, or whose numbers are beyond
+// any worker, must be refused before anything is recorded. Otherwise it could
+// start the wrong work, or the same work under two ids. Each line of
+// testdata/refused.golden has a kind, a header key, a body and the expected
+// detail.
 func TestDecodeRefusesBadBodies(t *testing.T) {
 	is := is.New(t)
 	const file = "testdata/refused.golden"
@@ -88,7 +89,7 @@
 	_, _, p = DecodeJob("s", strings.Repeat("a", state.MaxIDLength+1), []byte(`{"tasks":[{"payload":1}]}`))
 	is.Equal(p.Detail, "id is longer than 128 bytes")
 	_, _, p = DecodeJob("s", "", []byte(`{"tasks":[{"payload":`+strings.Repeat("[", 20000)))
-	is.Equal(p.Reason, state.ReasonMalformed) // too deep
+	is.Equal(p.Reason, state.ReasonMalformed) // nested too deeply
 }
 
 func TestDecodeJobReadsAllFields(t *testing.T) {
@@ -103,7 +104,7 @@
 	is.Equal(string(job.Tasks[1].Payload), `"x"`)
 }
 
-// Unless it says so, a request is not repeatable.
+// A request without a "repeatable" field is not repeatable.
 func TestDecodeRequest(t *testing.T) {
 	is := is.New(t)
 	for field, want := range map[string]bool{`"repeatable":true,`: true, `"repeatable":false,`: false, "": false} {
@@ -124,8 +125,9 @@
 	}
 }
 
-// A client that reads a submission back and sends it again must send the same
-// work: a body that changes on the way would be another job under the same id.
+// A decoded submission that is encoded by Body and decoded again must be the same
+// job with the same digest. Otherwise a resubmission would be refused as another
+// job under the same id.
 func FuzzDecode(f *testing.F) {
 	f.Add("", []byte(goodJob))
 	f.Add("k", []byte(`{"tasks":[{"payload":"\u003c"}]}`))
@@ -140,16 +142,16 @@
 			job, deadline, p := decode("s", key, body)
 			if p != nil {
 				if p.Outcome != state.NotRun || p.Status < 400 {
-					t.Fatalf("refused as %v", p)
+					t.Fatalf("refused with an outcome other than not run or a status below 400: %v", p)
 				}
 				continue
 			}
 			again, deadlineAgain, p := decode("s", "", (&Submission{Kind: kind, Job: job, Deadline: deadline}).Body())
 			if p != nil {
-				t.Fatalf("own body refused: %v", p)
+				t.Fatalf("re-encoded body refused: %v", p)
 			}
 			if !reflect.DeepEqual(job, again) || deadline != deadlineAgain || job.Digest() != again.Digest() {
-				t.Fatalf("read back as %+v, was %+v", again, job)
+				t.Fatalf("re-encoded body decodes to %+v, want %+v", again, job)
 			}
 		}
 	})
--- a/protocol/api/title.go
+++ b/protocol/api/title.go
@@ -2,8 +2,8 @@
 
 import "github.com/shallotstep/shallotstep/state"
 
-// titles holds one sentence for each reason. It is the same on every
-// occurrence; what is particular to one stands in the detail.
+// titles has the title of each reason. A title is the same for every occurrence
+// of the reason; the detail describes the particular occurrence.
 var titles = map[state.Reason]string{
 	state.ReasonMalformed:        "The request is malformed",
 	state.ReasonTooLarge:         "The request is too large",
@@ -41,7 +41,7 @@
 	state.ReasonUndocumented:     "Another daemon gave a reason that is not known here",
 }
 
-// Title returns the sentence that names a reason.
+// Title returns the title of a reason, or a generic one for an unknown reason.
 func Title(r state.Reason) string {
 	if t, ok := titles[r]; ok {
 		return t
