--- a/protocol/core/generate.sh
+++ b/protocol/core/generate.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Regenerates corepb from core.proto. The result is committed, so a build needs
-# none of this. The compiler and the plugins come, pinned, from the tools module.
+# Regenerates corepb from core.proto. The generated code is committed, so a build
+# doesn't run this script. The tools module pins the versions of the compiler and
+# the plugins.
 set -eu
 cd "$(dirname "$0")"
 bin=$(mktemp -d)
--- a/protocol/core/messages.go
+++ b/protocol/core/messages.go
@@ -11,7 +11,7 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// RunToWire returns the wire form of a run's name.
+// RunToWire returns the wire form of a run's ID.
 func RunToWire(r job.RunID) *corepb.Run {
 	return &corepb.Run{Job: string(r.Task.Job), Step: int32(r.Task.Step), Index: int32(r.Task.Index), Number: r.Number}
 }
@@ -24,8 +24,8 @@
 	}
 }
 
-// OrderToWire returns an order's wire form. Times are sent relative to now,
-// since two hosts share no clock.
+// OrderToWire returns the wire form of an order. The due time is sent relative to
+// now, because the clocks of two hosts differ.
 func OrderToWire(now time.Duration, o *worker.Order) *corepb.Order {
 	return &corepb.Order{
 		Shard: int32(o.Shard), Epoch: o.Epoch, Session: o.Session, Run: RunToWire(o.Run),
@@ -36,7 +36,7 @@
 	}
 }
 
-// OrderFromWire is the inverse of OrderToWire.
+// OrderFromWire is the inverse of OrderToWire. now is the receiver's clock.
 func OrderFromWire(now time.Duration, p *corepb.Order) worker.Order {
 	return worker.Order{
 		Shard: int(p.GetShard()), Epoch: p.GetEpoch(), Session: p.GetSession(), Run: RunFromWire(p.GetRun()),
@@ -67,7 +67,7 @@
 	}
 }
 
-// ClaimedToWire returns the wire form of the answer to a claim.
+// ClaimedToWire returns the wire form of the response to a claim.
 func ClaimedToWire(c *worker.Claimed) *corepb.Claimed {
 	out := &corepb.Claimed{Shard: int32(c.Shard), Epoch: c.Epoch, Session: c.Session, Refused: c.Refused, KnownEpoch: c.KnownEpoch}
 	for i := range c.Runs {
@@ -94,7 +94,8 @@
 	return out
 }
 
-// LoadToWire returns the wire form of an agent's load.
+// LoadToWire returns the wire form of an agent's load. It omits the work ahead if
+// there is no backlog.
 func LoadToWire(l *worker.Load) *corepb.Load {
 	out := &corepb.Load{
 		Service: l.Server.Service, Instance: l.Server.Instance, Labels: l.Server.Labels,
@@ -111,7 +112,7 @@
 	return out
 }
 
-// LoadFromWire returns an agent's load as its owners use it.
+// LoadFromWire returns an agent's load in the form that owners use.
 func LoadFromWire(p *corepb.Load) owner.AgentLoad {
 	out := owner.AgentLoad{
 		Service: p.GetService(), Instance: p.GetInstance(), Labels: p.GetLabels(),
@@ -131,8 +132,8 @@
 	return out
 }
 
-// DrainsToWire returns the wire form of what is known of drains, confirmed so long ago; nil
-// while nothing is.
+// DrainsToWire returns the wire form of the known drains, or nil if none have been
+// read yet. age is the time since the store confirmed them.
 func DrainsToWire(s drains.State, age time.Duration) *corepb.Drains {
 	if s.Position == 0 {
 		return nil
@@ -140,7 +141,7 @@
 	return &corepb.Drains{Position: s.Position, Domains: s.Domains, AgeMs: age.Milliseconds()}
 }
 
-// DrainsFromWire is the inverse of DrainsToWire.
+// DrainsFromWire is the inverse of DrainsToWire. It sorts the domains.
 func DrainsFromWire(p *corepb.Drains) (drains.State, time.Duration) {
 	s := drains.State{Position: p.GetPosition(), Domains: slices.Clone(p.GetDomains())}
 	slices.Sort(s.Domains)
--- a/protocol/core/record.go
+++ b/protocol/core/record.go
@@ -1,5 +1,5 @@
-// Package core encodes what entries, owners and agents say to one another, and
-// the records that the store keeps.
+// Package core encodes the messages between entries, owners and agents, and the
+// job records in the store.
 package core
 
 import (
@@ -12,7 +12,8 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// EncodeRecord returns a job's record as the store keeps it.
+// EncodeRecord encodes a job's record for the store. The record of a job that has
+// ended has no spec, only its digest.
 func EncodeRecord(r *job.Record) ([]byte, error) {
 	p := &corepb.JobRecord{
 		Policy:     PolicyToWire(&r.Policy),
@@ -30,6 +31,8 @@
 	return b, errors.Wrapf(err, "record of job %s", r.ID)
 }
 
+// tasksToWire returns the wire form of the tasks, or nil if no task has progress,
+// failures or crashes to record.
 func tasksToWire(tasks []job.TaskRecord) []*corepb.TaskRecord {
 	settled := false
 	out := make([]*corepb.TaskRecord, len(tasks))
@@ -47,7 +50,7 @@
 	return out
 }
 
-// DecodeRecord is the inverse of EncodeRecord.
+// DecodeRecord decodes the record of job id. It is the inverse of EncodeRecord.
 func DecodeRecord(id job.ID, b []byte) (*job.Record, error) {
 	var p corepb.JobRecord
 	if err := proto.Unmarshal(b, &p); err != nil {
@@ -67,7 +70,8 @@
 	return r, nil
 }
 
-// tasksFromWire is the inverse of tasksToWire; at least so many tasks come out.
+// tasksFromWire is the inverse of tasksToWire. It returns at least the given number
+// of tasks, because tasksToWire may have omitted all of them.
 func tasksFromWire(in []*corepb.TaskRecord, least int) []job.TaskRecord {
 	out := make([]job.TaskRecord, max(least, len(in)))
 	for i, t := range in {
@@ -96,8 +100,7 @@
 	return out
 }
 
-// SpecToWire and the functions below translate between the vocabulary and its
-// wire form.
+// SpecToWire returns the wire form of a spec.
 func SpecToWire(s *job.Spec) *corepb.Spec {
 	out := &corepb.Spec{Payload: s.Payload, BestEffort: s.BestEffort, Digest: []byte(s.Digest)}
 	for i := range s.Steps {
