--- a/protocol/standin/standin.go
+++ b/protocol/standin/standin.go
@@ -1,24 +1,27 @@
-// Package standin has the documents by which a measurement reads what a
-// stand-in backend server has started and tells it what is to go wrong. Real
-// backend servers don't have these calls; docs/MEASURING.md describes them.
+// Package standin defines the JSON documents with which a measurement reads the
+// task starts of a stand-in backend server and injects faults into it. Real
+// backend servers don't have these endpoints; docs/MEASURING.md describes them.
 package standin
 
-// The paths of the calls, beside those of the protocol of backend servers.
+// Paths of the endpoints that a stand-in has in addition to the backend server
+// protocol.
 const (
-	// StartsPath is read with GET. PrefixParameter keeps it to the jobs whose
-	// ids begin so.
+	// StartsPath returns Starts to a GET. The query parameter PrefixParameter
+	// restricts it to jobs whose ids have that prefix.
 	StartsPath      = "/standin/starts"
 	PrefixParameter = "prefix"
-	// FaultsPath is written with PUT.
+	// FaultsPath accepts Faults with a PUT.
 	FaultsPath = "/standin/faults"
 )
 
-// Starts is how often a stand-in has started each task since it came up.
+// Starts is the number of times that a stand-in has started each task since it
+// came up.
 type Starts struct {
 	Tasks []TaskStarts `json:"tasks"`
 }
 
-// TaskStarts is one task. Starts above 1 are a fault of whoever sent it.
+// TaskStarts is the number of starts of one task. More than one start is an error
+// of the sender.
 type TaskStarts struct {
 	Service string `json:"service"`
 	Job     string `json:"job"`
@@ -27,11 +30,11 @@
 	Starts  int    `json:"starts"`
 }
 
-// Faults is what is to go wrong from now on. The zero value is a healthy one.
+// Faults are the faults to inject from now on. The zero value injects none.
 type Faults struct {
-	// FailAll fails every task at once after starting it.
+	// FailAll fails every task immediately after its start.
 	FailAll bool `json:"fail_all,omitempty"`
-	// Refuse refuses every task as not started.
+	// Refuse refuses every task without starting it.
 	Refuse bool `json:"refuse,omitempty"`
 	// SlowMS is added to the run time of each task that starts, in milliseconds.
 	SlowMS int64 `json:"slow_ms,omitempty"`
