--- a/daemon/clients/answer.go
+++ b/daemon/clients/answer.go
@@ -8,7 +8,8 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// reasons are the interface's words for the verdicts of owners and entries.
+// reasons maps the reasons in verdicts of owners and entries to the reasons of the
+// HTTP interface.
 var reasons = map[string]state.Reason{
 	owner.ReasonOverload: state.ReasonOverload,
 	owner.ReasonNoWorker: state.ReasonNoBackend,
@@ -31,19 +32,20 @@
 	return state.Answer{Key: key, Outcome: state.NotRun, Reason: r, RetryAfter: after}
 }
 
-// failed is the answer where there is no job to tell of.
+// failed returns the answer for a verdict other than OK, which has no state of a
+// job.
 func failed(key state.JobKey, v owner.Verdict) state.Answer {
 	switch v.Outcome {
 	case owner.Refused:
 		return refused(key, reasonOf(v), v.RetryAfter)
 	case owner.Absent:
-		// A submission may be on its way and be accepted a moment later.
+		// A submission of the job may be in flight and be accepted later.
 		return state.Answer{Key: key, Outcome: state.Unknown, Reason: state.ReasonUnknownJob}
 	}
 	return state.Answer{Key: key, Outcome: state.Unknown, Reason: reasonOf(v), RetryAfter: v.RetryAfter}
 }
 
-// answerOf tells what a job has come to.
+// answerOf returns the answer for a verdict about a job.
 func answerOf(key state.JobKey, v owner.Verdict) state.Answer {
 	if v.Outcome != owner.OK {
 		return failed(key, v)
@@ -66,7 +68,8 @@
 	return state.Answer{Key: key, Outcome: state.Pending}
 }
 
-// coreTime is the time of one core that a complete job has taken.
+// coreTime returns the core time that the tasks of a complete job have used. It is
+// zero for an answer that isn't complete.
 func coreTime(a state.Answer, j *state.Job) time.Duration {
 	var sum float64
 	for i, work := range a.Work {
--- a/daemon/clients/apply.go
+++ b/daemon/clients/apply.go
@@ -14,23 +14,25 @@
 	"github.com/shallotstep/shallotstep/state/store"
 )
 
-// declarer is the producer of all declarations; epochs tell writers apart.
+// declarer is the name of the producer of all declarations. Concurrent writers use
+// the same name with different epochs.
 const declarer = "operators"
 
-// Apply implements httpapi.Declarer. It replaces an operator's declaration if
-// base is still the version in force.
+// Apply implements httpapi.Declarer. It replaces an operator's declaration if base
+// is the version in force.
 func (d *Declarations) Apply(ctx context.Context, operator string, base state.Version, raw []byte) state.Applied {
 	file, err := declaration.Parse(operator, raw)
 	if err != nil {
 		return notApplied(base, state.ReasonMalformed, err.Error())
 	}
 	if file.Operator != operator {
-		return notApplied(base, state.ReasonMalformed, "the file is of operator "+file.Operator)
+		return notApplied(base, state.ReasonMalformed, "the file names operator "+file.Operator)
 	}
 	for _, s := range file.Services {
 		if len(s.Placement.Racks) > 0 {
-			// Accepted and not gone by, it would have tasks run where they must not.
-			return notApplied(base, state.ReasonMalformed, "service "+s.Name+": placement by rack is not served")
+			// Tasks are not placed by rack. If the restriction were accepted and
+			// ignored, tasks would run where the operator has ruled it out.
+			return notApplied(base, state.ReasonMalformed, "service "+s.Name+": placement by rack is not supported")
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
@@ -45,7 +47,7 @@
 	return state.Applied{Version: version, Outcome: state.NotRun, Reason: r, Detail: detail}
 }
 
-// applying is one apply on its way.
+// applying is an apply in progress.
 type applying struct {
 	*Declarations
 	*fencedWriter
@@ -71,7 +73,7 @@
 				return state.Applied{Version: a.base, Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: err.Error()}
 			}
 		}
-		klog.V(1).InfoS("An apply is tried again", "operator", a.operator, "epoch", a.epoch, "err", err)
+		klog.V(1).InfoS("Retrying an apply", "operator", a.operator, "epoch", a.epoch, "err", err)
 		if ctx.Err() != nil {
 			return notApplied(a.base, state.ReasonStoreUnavailable, err.Error())
 		}
@@ -79,7 +81,8 @@
 	}
 }
 
-// begin shuts out who is under way and returns what is in force.
+// begin fences off concurrent writers and returns the declarations in force by
+// operator.
 func (a *applying) begin(ctx context.Context) (map[string]*inForce, error) {
 	records, err := a.fence(ctx, declarationEpoch)
 	if err != nil {
@@ -89,7 +92,7 @@
 	for _, r := range records {
 		f, err := parseRecord(r)
 		if err != nil {
-			// Written over, it would be lost for good.
+			// Don't replace a record that can't be read: its content would be lost.
 			return nil, err
 		}
 		out[r.Key] = f
@@ -105,14 +108,16 @@
 	return f.Epoch, nil
 }
 
-// judge says why the declaration can't be in force, or returns its record.
+// judge returns the record that replaces the operator's declaration, or the result
+// that ends the apply without a write: a refusal, or success if the declaration
+// is already in force.
 func (a *applying) judge(all map[string]*inForce) (*declared, *state.Applied) {
 	old := all[a.operator]
 	current := state.Version(0)
 	if old != nil {
 		current = old.Version
 		if current == a.base+1 && old.File == string(a.raw) {
-			// A repeat whose first reply was lost.
+			// The operator retries an apply whose response was lost.
 			return nil, &state.Applied{Version: current, Outcome: state.Complete}
 		}
 	}
@@ -125,7 +130,7 @@
 			region, owned := f.Owned[s.Name]
 			switch {
 			case owned && name != a.operator:
-				out := notApplied(current, state.ReasonServiceOwned, "service "+s.Name+" is of operator "+name)
+				out := notApplied(current, state.ReasonServiceOwned, "service "+s.Name+" belongs to operator "+name)
 				return nil, &out
 			case owned && region != s.Region:
 				out := notApplied(current, state.ReasonRegionFixed, "service "+s.Name+" is in region "+region)
@@ -138,11 +143,12 @@
 	return &next, nil
 }
 
-// write has the record in the store, and has the entry that wrote it go by it at once.
+// write appends the record to the store and puts it into force at this entry
+// immediately.
 func (a *applying) write(ctx context.Context, next *declared) error {
 	value, err := json.Marshal(next)
 	if err != nil {
-		return errors.Wrap(err, "declaration")
+		return errors.Wrap(err, "encode declaration record")
 	}
 	r := store.Record{Key: a.operator, Value: value}
 	if err := a.append(ctx, r); err != nil {
--- a/daemon/clients/bookings.go
+++ b/daemon/clients/bookings.go
@@ -8,9 +8,9 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// bookings has what the submissions at hand take of quotas. Submissions of one job
-// share a booking: a client that sends its job again while the first try is on its way
-// would otherwise be refused for want of what that try has taken.
+// bookings holds the quota that the submissions in progress use. Submissions of the
+// same job share one booking. Otherwise a client that resubmits its job while the
+// first attempt is in progress could be refused because that attempt uses the quota.
 type bookings struct {
 	quotas *quota.Table
 
@@ -18,12 +18,13 @@
 	held map[state.JobKey]*booking // guarded by mu
 }
 
-// booking is that of one job. Guarded by bookings.mu.
+// booking is the quota that one job uses. Guarded by bookings.mu.
 type booking struct {
 	operator string
-	// tasks is what it takes; zero for a job that was known before.
+	// tasks is the number of tasks booked. It is zero for a job that was known
+	// before.
 	tasks int
-	// users counts the submissions that share it.
+	// users counts the submissions in progress that share the booking.
 	users int
 }
 
@@ -31,8 +32,8 @@
 	return &bookings{quotas: quota.New(entries), held: make(map[state.JobKey]*booking)}
 }
 
-// take books a job's tasks, unless a submission at hand has done so, or says in how
-// long there may be room for them.
+// take books a job's tasks, unless a submission in progress has already done so. If
+// the quota doesn't allow them, it returns false and the time after which it may.
 func (b *bookings) take(now time.Duration, key state.JobKey, operator string, l quota.Limits, tasks int) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,7 +48,7 @@
 	return wait, ok
 }
 
-// join takes in a submission of a job that is known and takes nothing.
+// join adds a submission of a known job, which uses no quota.
 func (b *bookings) join(key state.JobKey) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,8 +58,9 @@
 	b.held[key].users++
 }
 
-// refund gives back what was taken for a job that turned out to be known. What the
-// first submission of several has taken stays while any of them is at hand.
+// refund returns the quota that was booked for a job that turned out to be known. It
+// does nothing while several submissions share the booking: what the first of them
+// has booked stays until the last is answered.
 func (b *bookings) refund(key state.JobKey) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -68,7 +70,8 @@
 	}
 }
 
-// release takes in that a submission was answered.
+// release removes an answered submission. The last one of a job releases the job's
+// booking.
 func (b *bookings) release(key state.JobKey) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/daemon/clients/bookings_test.go
+++ b/daemon/clients/bookings_test.go
@@ -16,9 +16,10 @@
 	testLimits = quota.Limits{InFlight: 40, PerSecond: 40}
 )
 
-// A client sends its job of 30 tasks sixteen times at once, under one ID. Its operator
-// may have 40 tasks in flight. The repeats were refused for want of what the first had
-// taken, where they are to join it; another job of that size is refused in earnest.
+// Guards against refusing concurrent resubmissions of a job because its first submission
+// uses the quota. The operator may have 40 tasks in flight, and a client submits a job of
+// 30 tasks sixteen times under one ID: the fifteen repeats must join the first. Another
+// job of 30 tasks must be refused until all sixteen are answered.
 func TestRepeatTakesNothingFromTheQuota(t *testing.T) {
 	is := is.New(t)
 	b := newBookings(1)
@@ -32,14 +33,14 @@
 		b.release(testKey)
 	}
 	_, ok = b.take(time.Hour, otherKey, "team", testLimits, 30)
-	is.True(!ok) // one of them still waits
+	is.True(!ok) // one submission is still in progress
 	b.release(testKey)
 	_, ok = b.take(time.Hour+time.Second, otherKey, "team", testLimits, 30)
 	is.True(ok)
 }
 
-// A client asks again for the answer of a job that has ended. Its owner says that the
-// job was known: neither the tasks in flight nor those of the second are used up.
+// A resubmission of a job that its owner already knows must use neither the quota of
+// tasks in flight nor that of tasks per second.
 func TestKnownJobIsRefunded(t *testing.T) {
 	is := is.New(t)
 	b := newBookings(1)
@@ -54,7 +55,8 @@
 	is.True(ok)
 }
 
-// A job is known though the quota is used up: its repeat joins without a booking.
+// A resubmission of a known job must be accepted while the quota is used up, and must
+// not change the quota.
 func TestKnownJobJoinsAFullQuota(t *testing.T) {
 	is := is.New(t)
 	b := newBookings(1)
--- a/daemon/clients/clients.go
+++ b/daemon/clients/clients.go
@@ -1,7 +1,7 @@
-// Package clients serves the project's own interface at an entry: it turns
-// submissions into jobs and what became of them into answers, keeps the
-// operators' declarations in the platform's store, and tells what the entry
-// knows of the system.
+// Package clients implements the project's own HTTP interface at an entry. It
+// converts submissions to jobs and verdicts to answers, keeps the operators'
+// declarations and drains in the platform's store, and reports the entry's view
+// of the system.
 package clients
 
 import (
@@ -25,17 +25,18 @@
 	"github.com/shallotstep/shallotstep/transport/metrics"
 )
 
-// Entry is what takes jobs to their owners.
+// Entry forwards jobs to their owners and knows the agents.
 type Entry interface {
 	Submit(ctx context.Context, id job.ID, spec *job.Spec, p *job.Policy) owner.Verdict
 	Await(ctx context.Context, id job.ID) owner.Verdict
 	Lookup(ctx context.Context, id job.ID) owner.Verdict
 	Cancel(ctx context.Context, id job.ID) owner.Verdict
 	Agents() []owner.AgentView
-	// Capacities are what the known backend servers of a service have.
+	// Capacities returns the capacities of the known backend servers of a service.
 	Capacities(service string) []job.Demand
 	Linked() bool
-	// Drains are those in force, and Domains counts the agents of each failure domain.
+	// Drains returns the drains in force, and Domains the number of agents in each
+	// failure domain.
 	Drains() drains.State
 	Domains() map[string]int
 }
@@ -43,7 +44,8 @@
 // Clients implements the interfaces of package httpapi.
 type Clients struct {
 	*Declarations
-	// drains are those that are set at this interface; nil where they are set elsewhere.
+	// drains are the drains that operators set at this interface. It is nil if they
+	// are set elsewhere.
 	drains   *Drains
 	entry    Entry
 	name     string
@@ -51,13 +53,13 @@
 	bookings *bookings
 }
 
-// New returns the clients' side of an entry. Quotas are shared by a number of
-// entries. The drains are nil where operators set them elsewhere.
+// New returns the HTTP interface of an entry. entries is the number of entries that
+// share the quotas. drains is nil if operators set drains elsewhere.
 func New(e Entry, d *Declarations, drains *Drains, name, software string, entries int) *Clients {
 	return &Clients{Declarations: d, drains: drains, entry: e, name: name, software: software, bookings: newBookings(entries)}
 }
 
-// askTimeout bounds a question that a client has set no limit for.
+// askTimeout bounds a query or a cancellation, for which clients set no deadline.
 const askTimeout = 10 * time.Second
 
 // Submit implements httpapi.Dispatcher.
@@ -71,7 +73,7 @@
 		return refused(key, state.ReasonNeverRunnable, 0)
 	}
 	if wait, ok := c.book(ctx, &s.Job, file); !ok {
-		// An earlier attempt with the same ID may have been accepted.
+		// An earlier submission with the same ID may have been accepted.
 		a := refused(key, state.ReasonQuota, wait)
 		a.Outcome = c.known(ctx, key)
 		return a
@@ -99,8 +101,9 @@
 	return a
 }
 
-// book takes a submission's tasks from its operator's quota, or says in how long there
-// may be room. A repeat takes nothing: it joins a job that is there already.
+// book takes a submission's tasks from its operator's quota. If the quota doesn't
+// allow them, it returns false and the time after which it may. A resubmission of a
+// known job uses no quota and is always accepted.
 func (c *Clients) book(ctx context.Context, j *state.Job, f *declaration.File) (time.Duration, bool) {
 	limits := quota.Limits{InFlight: f.Quota.TasksInFlight, PerSecond: f.Quota.TasksPerSecond}
 	wait, ok := c.bookings.take(bootclock.Now(), j.Key, f.Operator, limits, len(j.Tasks))
@@ -114,7 +117,9 @@
 	return wait, false
 }
 
-// known tells whether a job that is refused now may have been accepted before.
+// known returns the outcome of a refused submission: NotRun if the job's owner
+// doesn't have the job, and Unknown if an earlier submission of it may have been
+// accepted.
 func (c *Clients) known(ctx context.Context, key state.JobKey) state.Outcome {
 	if c.entry.Lookup(ctx, jobID(key)).Outcome == owner.Absent {
 		return state.NotRun
@@ -136,9 +141,9 @@
 	return answerOf(key, c.entry.Cancel(ctx, jobID(key)))
 }
 
-// tooLarge reports whether no backend server of the service that the entry knows,
-// linked or not, is large enough for one of the tasks, even empty. While it knows none of
-// the service, it can't tell.
+// tooLarge reports whether one of the tasks exceeds the capacity of every known backend
+// server of the service, linked or not. It returns false while the entry knows no
+// backend server of the service.
 func (c *Clients) tooLarge(j *state.Job, s declaration.ServiceSpec) bool {
 	rooms := c.entry.Capacities(s.Name)
 	if len(rooms) == 0 {
@@ -177,15 +182,16 @@
 	return out
 }
 
-// SetDrain implements httpapi.Drainer. A name that nobody knows is most likely misspelt.
+// SetDrain implements httpapi.Drainer. It refuses an unknown failure domain, whose name
+// is most likely misspelt.
 func (c *Clients) SetDrain(ctx context.Context, domain string, drained bool) state.Applied {
 	if c.drains == nil {
-		return notApplied(0, state.ReasonDrainsElsewhere, "the drains of this system are set at its platform")
+		return notApplied(0, state.ReasonDrainsElsewhere, "the drains of this system are set at the platform")
 	}
 	known := c.entry.Domains()
 	if known[domain] == 0 && !c.entry.Drains().Has(domain) {
 		names := strings.Join(slices.Sorted(maps.Keys(known)), ", ")
-		return notApplied(0, state.ReasonUnknownDomain, fmt.Sprintf("failure domain %q has no agents; known are %s", domain, names))
+		return notApplied(0, state.ReasonUnknownDomain, fmt.Sprintf("failure domain %q has no agents; known failure domains: %s", domain, names))
 	}
 	return c.drains.Set(ctx, domain, drained)
 }
@@ -198,11 +204,12 @@
 	return c.drains.History(domain)
 }
 
-// Ready reports whether the entry can serve: it has read the declarations and
-// has a link to an agent.
+// Ready reports whether the entry can serve submissions: it has read a declaration
+// and has a link to an agent.
 func (c *Clients) Ready() bool { return c.Loaded() && c.entry.Linked() }
 
-// Handler serves the interface over HTTP, with a registry of metrics of its own.
+// Handler returns the HTTP handler of the interface. Each handler has its own
+// metrics registry.
 func (c *Clients) Handler() http.Handler {
 	m := metrics.New()
 	return httpapi.New(httpapi.Options{
--- a/daemon/clients/declarations.go
+++ b/daemon/clients/declarations.go
@@ -19,56 +19,61 @@
 	"github.com/shallotstep/shallotstep/state/store"
 )
 
-// DeclarationsPartition is where the store keeps the declarations, one record
-// for each operator.
+// DeclarationsPartition is the partition of the store that holds the declarations,
+// with one record per operator.
 var DeclarationsPartition = store.Partition{Topic: "keyed.declarations", Part: 0}
 
-// maxHistory is how many applies of an operator its record lists: a day's, at
-// eight changes a day each.
+// maxHistory is the number of changes in the history of an operator's declaration or
+// of a failure domain's drain. It covers at least a day: an operator makes about
+// eight changes a day.
 const maxHistory = 16
 
-// declared is an operator's record.
+// declared is the stored record of an operator's declaration.
 type declared struct {
 	Version state.Version `json:"version"`
 	File    string        `json:"file"`
-	// Owned has the region of each service that the operator has ever declared,
-	// also while its file no longer names it: jobs are known by service and ID,
-	// and a name that came back elsewhere would find others' answers.
+	// Owned maps each service that the operator has ever declared to its region. It
+	// keeps services that the file no longer names: jobs are identified by service
+	// and ID, so a service that is declared again by another operator or in another
+	// region would return the answers of earlier jobs.
 	Owned   map[string]string  `json:"owned"`
 	History []api.HistoryEntry `json:"history"`
-	// Epoch is the one it was written under.
+	// Epoch is the epoch under which the record was written.
 	Epoch int64 `json:"epoch"`
 }
 
-// Declarations are the operators' declarations in force, as far as they were
-// read. It is safe for concurrent use.
+// Declarations holds the operators' declarations in force that the entry has read
+// from the store. It is safe for concurrent use.
 type Declarations struct {
 	store store.Store
-	// name is this entry's, for the history.
+	// name is the name of this entry, for the history.
 	name string
 
 	mu sync.RWMutex
 	// All fields below are guarded by mu.
 
+	// operators maps operators to their declarations.
 	operators map[string]*inForce
-	services  map[string]string
-	// reads counts the records taken in.
+	// services maps services to their operators.
+	services map[string]string
+	// reads counts the records read from the store.
 	reads int64
 }
 
-// inForce is one operator's declaration. It is never changed once made.
+// inForce is an operator's declaration in force. It is immutable.
 type inForce struct {
 	declared
 	file *declaration.File
 }
 
-// NewDeclarations returns declarations of which nothing was read yet.
+// NewDeclarations returns a Declarations that has read no records yet. name is the
+// name of the entry.
 func NewDeclarations(st store.Store, name string) *Declarations {
 	return &Declarations{store: st, name: name, operators: make(map[string]*inForce), services: make(map[string]string)}
 }
 
-// Decode takes in a record that the entry has read. The table says only that
-// there is something in force.
+// Decode puts a record that the entry has read into force. The returned table has no
+// routes; it only tells the entry that a declaration is in force.
 func (d *Declarations) Decode(r store.Record) (*routing.Table, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -107,7 +112,7 @@
 		return nil, errors.Wrapf(err, "declaration of %s", r.Key)
 	}
 	if len(f.History) == 0 {
-		return nil, errors.Errorf("declaration of %s: no history", r.Key)
+		return nil, errors.Errorf("declaration of %s: record has no history", r.Key)
 	}
 	return f, nil
 }
@@ -164,7 +169,7 @@
 	return operator, ok
 }
 
-// Spec returns a service as declared.
+// Spec returns the declaration of a service.
 func (d *Declarations) Spec(name string) (declaration.ServiceSpec, bool) {
 	_, spec, ok := d.service(name)
 	return spec, ok
@@ -181,7 +186,8 @@
 	return f.file, f.file.Services[at], true
 }
 
-// next returns the record that replaces an operator's declaration.
+// next returns the record that replaces an operator's declaration old, which is nil
+// if there is none.
 func (d *Declarations) next(old *inForce, base state.Version, raw []byte, file *declaration.File, now time.Time) declared {
 	out := declared{Version: base + 1, File: string(raw), Owned: make(map[string]string)}
 	if old != nil {
--- a/daemon/clients/drains.go
+++ b/daemon/clients/drains.go
@@ -17,44 +17,47 @@
 	"github.com/shallotstep/shallotstep/state/store"
 )
 
-// drainsPartition is where the store keeps the drains, one record for each failure domain
-// that ever was drained.
+// drainsPartition is the partition of the store that holds the drains, with one record
+// per failure domain that has ever been drained.
 var drainsPartition = store.Partition{Topic: "keyed.drains", Part: 0}
 
-// drainer is the producer of all drains; epochs tell writers apart.
+// drainer is the name of the producer of all drains. Concurrent writers use the same name
+// with different epochs.
 const drainer = "drains"
 
-// drainRecord is a failure domain's record. It stays when the drain ends, for its history.
+// drainRecord is the stored record of a failure domain's drain. It is kept after the drain
+// has ended, for its history.
 type drainRecord struct {
 	Drained bool             `json:"drained"`
 	Version state.Version    `json:"version"`
 	History []api.DrainEntry `json:"history"`
-	// Epoch is the one it was written under.
+	// Epoch is the epoch under which the record was written.
 	Epoch int64 `json:"epoch"`
 }
 
-// Drains are the drains of failure domains that operators have asked for at this interface,
-// as far as they were read. It is safe for concurrent use.
+// Drains holds the drains of failure domains that operators have set at this interface and
+// that the entry has read from the store. It is safe for concurrent use.
 type Drains struct {
 	store store.Store
-	// name is this entry's, for the history.
+	// name is the name of this entry, for the history.
 	name string
 
 	mu      sync.RWMutex
 	records map[string]*drainRecord // guarded by mu
 }
 
-// NewDrains returns drains of which nothing was read yet.
+// NewDrains returns a Drains that has read no records yet. name is the name of the entry.
 func NewDrains(st store.Store, name string) *Drains {
 	return &Drains{store: st, name: name, records: make(map[string]*drainRecord)}
 }
 
-// Source is where a system whose drains are set at this interface reads them.
+// Source returns the source of drains for a system whose operators set them at this
+// interface.
 func (d *Drains) Source() core.DrainSource {
 	return core.DrainSource{Partition: drainsPartition, Decode: d.decode}
 }
 
-// decode takes in a record that the entry has read.
+// decode stores a record that the entry has read, and returns the change that it makes.
 func (d *Drains) decode(r store.Record) (drains.Change, bool, error) {
 	rec, err := parseDrain(r)
 	if err != nil {
@@ -70,7 +73,7 @@
 		return nil, errors.Wrapf(err, "drain of %.80q", r.Key)
 	}
 	if r.Key == "" || len(rec.History) == 0 {
-		return nil, errors.Errorf("drain of %.80q: no history", r.Key)
+		return nil, errors.Errorf("drain of %.80q: record has no key or no history", r.Key)
 	}
 	return rec, nil
 }
@@ -91,7 +94,7 @@
 	}
 }
 
-// History returns what was asked for a failure domain, newest last.
+// History returns the drain changes of a failure domain, newest last.
 func (d *Drains) History(domain string) []api.DrainEntry {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -101,8 +104,9 @@
 	return nil
 }
 
-// Set drains a failure domain, or ends its drain. What is so already stays as it is, and
-// counts as done: a repeat whose first reply was lost does no harm.
+// Set drains a failure domain or ends its drain. It is idempotent: if the domain is already
+// in that state, Set writes nothing and reports success, so an operator can retry a request
+// whose response was lost.
 func (d *Drains) Set(ctx context.Context, domain string, drained bool) state.Applied {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
@@ -111,14 +115,14 @@
 		out, err := d.setOnce(ctx, w, domain, drained)
 		switch {
 		case err == nil:
-			klog.InfoS("A drain was set", "domain", domain, "drained", drained, "version", out.Version)
+			klog.InfoS("Set the drain of a failure domain", "domain", domain, "drained", drained, "version", out.Version)
 			return out
 		case !triedAgain(err) && w.wrote:
 			return state.Applied{Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: err.Error()}
 		case ctx.Err() != nil:
 			return notApplied(0, state.ReasonStoreUnavailable, err.Error())
 		}
-		klog.V(1).InfoS("A drain is tried again", "domain", domain, "epoch", w.epoch, "err", err)
+		klog.V(1).InfoS("Retrying to set the drain of a failure domain", "domain", domain, "epoch", w.epoch, "err", err)
 		w.rest(ctx)
 	}
 }
@@ -150,7 +154,7 @@
 	next.History = next.History[max(0, len(next.History)-maxHistory):]
 	value, err := json.Marshal(&next)
 	if err != nil {
-		return state.Applied{}, errors.Wrap(err, "drain")
+		return state.Applied{}, errors.Wrap(err, "encode drain record")
 	}
 	if err := w.append(ctx, store.Record{Key: domain, Value: value}); err != nil {
 		return state.Applied{}, err
--- a/daemon/clients/fenced.go
+++ b/daemon/clients/fenced.go
@@ -12,29 +12,31 @@
 )
 
 const (
-	// callTimeout bounds one call to the store: a slow one answers within it.
+	// callTimeout bounds one call to the store. A slow store answers within it.
 	callTimeout = time.Second
-	// applyTimeout bounds an apply with its repeats.
+	// applyTimeout bounds an apply including its retries.
 	applyTimeout = 15 * time.Second
-	// applyPause is the mean pause before an apply that another one has got in
-	// the way of is tried again: an apply takes three calls of 5 ms.
+	// applyPause is the mean delay before an apply that conflicted with another
+	// writer is retried. An apply makes three calls of 5 ms each.
 	applyPause = 30 * time.Millisecond
 )
 
-// fencedWriter replaces a record of one partition. Two operators may write at a time, at
-// two entries, and the store only knows epochs. So a writer first takes an epoch above all
-// it has seen, which shuts out whoever is under way, then reads what is in force, and then
-// writes under that epoch: a write that comes through has read everything that was written
-// before it.
+// fencedWriter replaces a record of one partition with a read-modify-write that is safe
+// against concurrent writers. Two operators may write at the same time at two entries, and
+// the store has no conditional writes, only producer epochs as fencing tokens. So a writer
+// first takes an epoch above all it has seen, which fences off the writers in progress,
+// then reads the records, and then writes under its epoch. A write that succeeds is
+// therefore based on everything that was written before it.
 type fencedWriter struct {
 	store     store.Store
 	partition store.Partition
-	// name is that of the producer, the same for all writers of the partition.
+	// name is the name of the producer. It is the same for all writers of the
+	// partition.
 	name string
-	// epoch is the one to write under, and tries how often it was raised.
+	// epoch is the epoch to write under, and tries is how often it was raised.
 	epoch int64
 	tries int
-	// wrote is set once an append was sent whose fate may be open.
+	// wrote is set once an append has been sent; its outcome may be unknown.
 	wrote bool
 }
 
@@ -42,8 +44,8 @@
 	return &fencedWriter{store: st, partition: p, name: name}
 }
 
-// fence shuts out who is under way and returns what is in force. The function tells the
-// epoch that a record was written under.
+// fence raises the epoch, which fences off the writers in progress, and returns the newest
+// records. epochOf returns the epoch under which a record was written.
 func (w *fencedWriter) fence(ctx context.Context, epochOf func(store.Record) (int64, error)) ([]store.Record, error) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -61,8 +63,8 @@
 	return records, err
 }
 
-// seeEpochs finds the highest epoch in the records; a writer that never wrote may have taken
-// a higher one.
+// seeEpochs sets w.epoch to the highest epoch in the records. A writer that has appended no
+// record may have taken a higher one.
 func (w *fencedWriter) seeEpochs(ctx context.Context, epochOf func(store.Record) (int64, error)) error {
 	records, _, err := w.store.Newest(ctx, w.partition)
 	if err != nil {
@@ -78,14 +80,16 @@
 	return nil
 }
 
-// writerBits of an epoch are drawn anew by each writer. Two that took the same
-// epoch would be one producer to the store: the second one's write would be
-// answered as a repeat of the first one's, and both operators be told that they
-// have won. Of 2^30 numbers two writers at a time never draw the same.
+// writerBits is the number of low bits of an epoch that each writer draws at random.
+// Two writers with the same epoch would be the same producer to the store: it would
+// acknowledge the second one's write as a repeat of the first, and both operators
+// would be told that their change is in force. With 2^30 values, two concurrent
+// writers practically never draw the same one.
 const writerBits = 30
 
-// nextEpoch returns an epoch above one that was seen, further with each try:
-// writers that never wrote may have taken higher ones.
+// nextEpoch returns an epoch above the one seen. The distance doubles with each
+// attempt, because writers that have appended no record may have taken higher
+// epochs.
 func nextEpoch(seen int64, tries int) int64 {
 	round := seen>>writerBits + 1<<min(tries, 20)
 	return round<<writerBits | rand.Int64N(1<<writerBits)
@@ -95,14 +99,14 @@
 	return &store.Producer{Name: w.name, Epoch: w.epoch, Sequence: sequence}
 }
 
-// triedAgain reports whether an append was certainly not carried out, so that the writer may
-// begin anew.
+// triedAgain reports whether an append was certainly not carried out, so that the writer can
+// start over.
 func triedAgain(err error) bool {
 	return errors.Is(err, store.ErrFenced) || errors.Is(err, store.ErrRejected)
 }
 
-// append repeats one append until its fate is known: the store answers a repeat
-// as it did the first time.
+// append retries one append until its outcome is known. The append is idempotent: the
+// store deduplicates retries by producer, epoch and sequence number.
 func (w *fencedWriter) append(ctx context.Context, r store.Record) error {
 	unknown := false
 	w.wrote = true
@@ -116,17 +120,17 @@
 		case triedAgain(err) && !unknown:
 			return err
 		case ctx.Err() != nil:
-			return errors.Wrap(err, "the fate of the write is open")
+			return errors.Wrap(err, "the outcome of the write is unknown")
 		case errors.Is(err, store.ErrFenced):
-			// An attempt may have come through before the fence did.
-			return errors.New("the fate of the write is open: another writer followed")
+			// An earlier attempt may have succeeded before the writer was fenced.
+			return errors.New("the outcome of the write is unknown: fenced by another writer")
 		}
 		unknown = unknown || !errors.Is(err, store.ErrRejected)
 		_ = pause.For(ctx, applyPause)
 	}
 }
 
-// rest is the pause before a writer begins anew.
+// rest waits for a random delay before the writer starts over.
 func (w *fencedWriter) rest(ctx context.Context) {
 	_ = pause.For(ctx, applyPause/2+rand.N(applyPause))
 }
--- a/daemon/clients/submission.go
+++ b/daemon/clients/submission.go
@@ -12,19 +12,19 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// milli is the number of thousandths in one, and attempts how often a task that
-// may be repeated is started before its failure is the job's.
+// milli is the number of CPU millis in a core, and attempts is the maximum number of
+// starts of a repeatable task before its failure fails the job.
 const (
 	milli    = 1000
 	attempts = 3
 )
 
-// maxName bounds a job's name as the store takes it for a key: 255 bytes, less
-// what names a task of it at a backend server.
+// maxName bounds the length of a job ID in bytes. Keys in the store have at most 255
+// bytes; the rest is for the suffix that identifies a task at a backend server.
 const maxName = 200
 
-// jobID names a submission's job. Services hold no slash, so no two keys share a
-// name; one that is too long is named by its hash.
+// jobID returns the ID of a submission's job. Service names contain no slash, so two
+// keys never have the same ID. A name that is too long is replaced by its hash.
 func jobID(key state.JobKey) job.ID {
 	name := key.Service + "/" + key.ID
 	if len(name) > maxName {
@@ -34,8 +34,8 @@
 	return job.ID(name)
 }
 
-// specOf turns a submission into a job. Equal tasks that follow one another make
-// a step, so that the tasks of all steps stand in the submission's order.
+// specOf converts a submission to a job spec. Consecutive tasks with equal
+// requirements form one step, so the tasks of all steps keep the submission's order.
 func specOf(j *state.Job, digest state.Digest, service declaration.ServiceSpec) job.Spec {
 	out := job.Spec{Digest: string(digest[:])}
 	for i := range j.Tasks {
@@ -61,8 +61,8 @@
 
 func cores(d job.Demand) float64 { return float64(d.CPUMillis) / milli }
 
-// policyOf is how a job is treated. Its latency objective is the time that its
-// caller waits.
+// policyOf returns the scheduling policy of a job. Its latency target is the time that
+// the caller waits, less the longest expected run time of its tasks.
 func policyOf(j *state.Job, f *declaration.File, deadline time.Duration) job.Policy {
 	longest := time.Duration(0)
 	for i := range j.Tasks {
@@ -80,12 +80,13 @@
 	return p
 }
 
-// priorityStep is how far below the default an operator's priority is one step, of
-// which a queue has a few: the declaration's scale goes from 1 to 100.
+// priorityStep is the difference in operator priority that makes one step of queue
+// priority. A declaration's priority goes from 1 to 100; a queue has a few steps.
 const priorityStep = 25
 
-// stepsBelowDefault returns an operator's priority as a queue's, of which 0 comes
-// first. Operators who declare nothing are not put behind those who do.
+// stepsBelowDefault converts an operator's priority to a queue priority, where 0 is
+// served first. Every priority from the default up becomes 0, so that an operator who
+// declares none isn't placed behind one who declares a high one.
 func stepsBelowDefault(operator int) int {
 	return max(0, declaration.DefaultPriority-operator+priorityStep-1) / priorityStep
 }
--- a/daemon/clients/submission_test.go
+++ b/daemon/clients/submission_test.go
@@ -8,9 +8,9 @@
 	"github.com/shallotstep/shallotstep/state/declaration"
 )
 
-// The declaration's scale goes up to 100, and a queue's begins with 0. Taken for a
-// queue's, the default was 50 steps behind the first: each job was refused that could
-// not start at once.
+// Guards against using a declaration's priority, of which 100 is the highest, directly as a
+// queue priority, of which 0 is the highest. The default would then be 50 steps behind the
+// first, and every job that can't start immediately would be refused.
 func TestOperatorsPriority(t *testing.T) {
 	is := is.New(t)
 	is.Equal(stepsBelowDefault(declaration.MaxPriority), 0)
