--- a/daemon/dev/agent.go
+++ b/daemon/dev/agent.go
@@ -14,24 +14,23 @@
 	"github.com/shallotstep/shallotstep/state/settings"
 )
 
-// Agent is an agent that can be ended and started again beside the same backend
-// server.
+// Agent is an agent that can be killed and restarted with the same backend server.
 type Agent struct {
 	settings *settings.Settings
 	drains   core.DrainSource
 	reports  net.Listener
-	// failed is told why the agent could not run.
+	// failed is called with the error that stops the agent or its report server.
 	failed func(error)
 
 	mu sync.Mutex
-	// agent is nil while it is down. Guarded by mu, as what follows.
+	// agent is nil while the agent is down. Guarded by mu, as are the fields below.
 	agent  *agent.Agent
 	cancel context.CancelFunc
 	ended  chan struct{}
 }
 
-// NewAgent returns an agent that is down. Its backend server reports to the
-// listener, also while it is down.
+// NewAgent returns an agent that is down. It serves the reports of its backend
+// server on the listener, with status 503 while the agent is down.
 func NewAgent(s *settings.Settings, drains core.DrainSource, reports net.Listener, failed func(error)) *Agent {
 	a := &Agent{settings: s, drains: drains, reports: reports, failed: failed}
 	srv := &http.Server{Handler: http.HandlerFunc(a.report), ReadHeaderTimeout: closeLimit}
@@ -43,7 +42,7 @@
 	return a
 }
 
-// ReportsAddr is where the agent's backend server reports.
+// ReportsAddr returns the address for the reports of the agent's backend server.
 func (a *Agent) ReportsAddr() net.Addr { return a.reports.Addr() }
 
 func (a *Agent) report(w http.ResponseWriter, r *http.Request) {
@@ -75,7 +74,7 @@
 	}()
 }
 
-// Kill ends the agent at once. Its backend server goes on.
+// Kill stops the agent without draining it. Its backend server keeps running.
 func (a *Agent) Kill() {
 	a.mu.Lock()
 	cancel, ended := a.cancel, a.ended
@@ -85,7 +84,8 @@
 	<-ended
 }
 
-// Drain ends the agent as planned.
+// Drain hands over the agent's shards and returns when its runs have ended, or when
+// ctx ends. It does nothing while the agent is down.
 func (a *Agent) Drain(ctx context.Context) {
 	a.mu.Lock()
 	agent := a.agent
--- a/daemon/dev/dev.go
+++ b/daemon/dev/dev.go
@@ -1,7 +1,8 @@
-// Package dev runs a whole system in one process on loopback: a stand-in of the
+// Package dev runs a whole system in one process on loopback: a stand-in for the
 // platform's store, three agents in three failure domains, a stand-in backend
-// server beside each, and one entry with the project's own interface. It is for
-// trying shallotstep out; all other parts are the real ones, over real sockets.
+// server for each agent, and one entry with the project's own interface. It is for
+// trying out shallotstep. All other parts are the production code and communicate
+// over real sockets.
 package dev
 
 import (
@@ -25,29 +26,30 @@
 	"github.com/shallotstep/shallotstep/transport/pause"
 )
 
-// The deployment: backend servers of the size that the users name.
+// Size of the deployment. The backend servers have the size that users run.
 const (
 	cores    = 8
 	memoryMB = 64 << 10
-	// readyEvery is how often the start looks whether everything is up.
+	// readyEvery is the interval at which Start checks whether the system is ready.
 	readyEvery = 10 * time.Millisecond
-	// closeLimit bounds the writing of answers at the end.
+	// closeLimit bounds the reading of a report's header.
 	closeLimit = 2 * time.Second
-	// writesPerSecond is far above what one process needs.
+	// writesPerSecond is far above the write rate of one process.
 	writesPerSecond = 10_000
-	// partitions is the number of shards: more than agents, so that each owns
-	// one whichever way they are dealt.
+	// partitions is the number of shards. There are more shards than agents, so each
+	// agent owns at least one however they are assigned.
 	partitions = 4
 )
 
 var domains = []string{"jeonju", "iksan", "gunsan"}
 
-// Cores is what the whole system has: its ideal spreads work evenly over them.
+// Cores is the number of cores of the whole system. The ideal run time of a job
+// spreads its work evenly over them.
 var Cores = cores * len(domains)
 
-// Options are what the system runs with.
+// Options configures a System.
 type Options struct {
-	// HTTP is the entry's listener. The other listeners take free ports.
+	// HTTP is the listener of the first entry. Other listeners use free ports.
 	HTTP     net.Listener
 	Software string
 }
@@ -63,8 +65,8 @@
 	done      conc.WaitGroup
 }
 
-// Start brings the system up and applies the example declaration. It returns
-// when the entry takes submissions and knows all agents.
+// Start starts the system and applies the example declaration. It returns once the
+// entry accepts submissions and all agents are available, or when ctx ends.
 func Start(ctx context.Context, o Options) (*System, error) {
 	s := &System{opts: o, store: standin.NewStore(), ledger: standin.NewLedger()}
 	if err := s.start(); err != nil {
@@ -105,7 +107,7 @@
 	}, nil
 }
 
-// startWorker starts a backend server and the agent beside it.
+// startWorker starts a backend server and its agent in a failure domain.
 func (s *System) startWorker(domain string) error {
 	server := standin.Server{Instance: "server-" + domain, Service: service(), Labels: []string{}, CPUMillis: cores * 1000, MemoryMB: memoryMB}
 	executor, err := standin.NewExecutor(server, s.ledger)
@@ -123,7 +125,7 @@
 	}
 	set.Listen.Links = links.Addr().String()
 	if err := links.Close(); err != nil {
-		return errors.Wrap(err, "address for links")
+		return errors.Wrap(err, "close the listener that reserves the port for links")
 	}
 	set.Server.Address = executor.Addr()
 	reports, err := loopback()
@@ -131,23 +133,23 @@
 		return err
 	}
 	drains := clients.NewDrains(platform.NewStore(set.Store.Address), set.Name)
-	a := NewAgent(set, drains.Source(), reports, func(err error) { klog.ErrorS(err, "The agent has failed", "name", set.Name) })
+	a := NewAgent(set, drains.Source(), reports, func(err error) { klog.ErrorS(err, "An agent failed", "name", set.Name) })
 	s.agents = append(s.agents, a)
 	a.Start()
 	executor.ReportTo(a.reports.Addr().String())
 	return nil
 }
 
-// service is what the example declares.
+// service returns the name of the service in the example declaration.
 func service() string {
 	f, err := declaration.Parse("declaration.json", examples.HaneulDeclaration)
 	if err != nil {
-		panic(fmt.Sprintf("the embedded declaration is broken: %v", err))
+		panic(fmt.Sprintf("invalid embedded declaration: %v", err))
 	}
 	return f.Services[0].Name
 }
 
-// prepare waits until the entry knows all agents, and applies the declaration.
+// prepare applies the example declaration and waits until the system is serving.
 func (s *System) prepare(ctx context.Context) error {
 	c, err := httpclient.New(httpclient.Options{Addr: s.Addr()})
 	if err != nil {
@@ -164,10 +166,11 @@
 		}
 		_ = pause.For(ctx, readyEvery)
 	}
-	return errors.Wrap(ctx.Err(), "the system did not come up")
+	return errors.Wrap(ctx.Err(), "the system did not become ready")
 }
 
-// serving reports whether every entry knows every agent and the shards are dealt.
+// serving reports whether all agents are available to every entry and the shards are
+// assigned to them.
 func (s *System) serving() bool {
 	for _, e := range s.entries {
 		if !e.knows(len(domains)) {
@@ -177,16 +180,16 @@
 	return s.store.Settled(core.OwnersGroup, len(domains))
 }
 
-// Addr returns the first entry's HTTP address.
+// Addr returns the HTTP address of the first entry.
 func (s *System) Addr() string { return s.opts.HTTP.Addr().String() }
 
-// Store returns the stand-in of the store, for faults.
+// Store returns the stand-in for the store, which tests use to inject faults.
 func (s *System) Store() *standin.Store { return s.store }
 
-// Ledger returns what the backend servers have started.
+// Ledger returns the record of all task starts at the stand-in backend servers.
 func (s *System) Ledger() *standin.Ledger { return s.ledger }
 
-// Agents returns the agents.
+// Agents returns the agents, one per failure domain.
 func (s *System) Agents() []*Agent { return s.agents }
 
 // Executors returns the stand-in backend servers.
@@ -201,8 +204,9 @@
 	return out
 }
 
-// Stop ends the system as planned: the entry first, so that nothing new comes
-// in, then the agents with what runs. When ctx ends the rest is cut off.
+// Stop shuts the system down gracefully. It shuts down the entries first, so that no
+// new submissions arrive, and then drains the agents. When ctx ends, it stops the
+// rest immediately.
 func (s *System) Stop(ctx context.Context) {
 	for _, e := range s.entries {
 		_ = e.http.Shutdown(ctx)
@@ -213,7 +217,7 @@
 	s.Kill()
 }
 
-// Kill ends everything at once.
+// Kill stops all parts of the system without draining them.
 func (s *System) Kill() {
 	for _, e := range s.entries {
 		e.Kill()
--- a/daemon/dev/drain_test.go
+++ b/daemon/dev/drain_test.go
@@ -9,7 +9,7 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// awaitDrained waits until the first entry goes by these drains.
+// awaitDrained waits until exactly these failure domains are drained at the first entry.
 func (d *desk) awaitDrained(domains ...string) {
 	d.t.Helper()
 	d.await("the drains are in force", func() bool {
@@ -18,8 +18,9 @@
 	})
 }
 
-// Guards against tasks that are started in a domain which an operator has drained at the
-// project's own interface, and against a drain that can't be ended or is not in the history.
+// Guards against starting tasks in a failure domain that an operator has drained at the
+// project's own interface, and against a drain that can't be ended or that is missing from
+// the history.
 func TestDrainByCommand(t *testing.T) {
 	d := newDesk(t)
 	set, f := d.client.SetDrain(d.ctx(), "iksan", true)
@@ -28,7 +29,7 @@
 	d.awaitDrained("iksan")
 	again, f := d.client.SetDrain(d.ctx(), "iksan", true)
 	d.is.True(f == nil)
-	d.is.Equal(again.Version, state.Version(1)) // a repeat changes nothing
+	d.is.Equal(again.Version, state.Version(1)) // draining again changes nothing
 	before := d.Executors()[1].Starts()
 	for i := range 5 {
 		_, f := d.client.SubmitSettled(d.ctx(), d.job(fmt.Sprint("drained-", i), 30, 5, ""), 100)
@@ -51,8 +52,8 @@
 	d.is.True(!h.Entries[1].Drained)
 }
 
-// Guards against a misspelt domain that is taken for drained, and against a repeat of an
-// undrain that fails.
+// Guards against accepting a drain of a misspelt failure domain, and against refusing to end
+// a drain that isn't in force.
 func TestDrainOfAnUnknownDomain(t *testing.T) {
 	d := newDesk(t)
 	_, f := d.client.SetDrain(d.ctx(), "iksann", true)
@@ -63,7 +64,7 @@
 	d.is.Equal(set.Version, state.Version(0))
 }
 
-// Guards against drains of two operators of which one undoes the other.
+// Guards against concurrent drains by two operators, of which one overwrites the other.
 func TestRaceOfDrains(t *testing.T) {
 	d := newDesk(t)
 	var wg sync.WaitGroup
@@ -78,8 +79,8 @@
 	d.awaitDrained("gunsan", "iksan")
 }
 
-// Guards against a drain that is said to be refused for certain, or accepted, while the
-// store takes nothing.
+// Guards against reporting the outcome of a drain as complete while the store's responses
+// are lost, and against a later retry that fails.
 func TestDrainWithoutTheStore(t *testing.T) {
 	d := newDesk(t)
 	d.Store().Fail("entry", standin.Lost)
--- a/daemon/dev/entry.go
+++ b/daemon/dev/entry.go
@@ -14,7 +14,7 @@
 	"github.com/shallotstep/shallotstep/transport/httpapi"
 )
 
-// Entry is one entry of the system.
+// Entry is an entry with its HTTP server.
 type Entry struct {
 	clients *clients.Clients
 	http    *http.Server
@@ -23,7 +23,7 @@
 	done    conc.WaitGroup
 }
 
-// StartEntry starts one more entry.
+// StartEntry starts an additional entry that serves HTTP on l.
 func (s *System) StartEntry(name string, l net.Listener) (*Entry, error) {
 	set, err := s.settings(settings.RoleEntry, name, domains[0])
 	if err != nil {
@@ -46,14 +46,15 @@
 // Addr returns the entry's HTTP address.
 func (e *Entry) Addr() string { return e.addr }
 
-// Kill ends the entry at once, and with it the connections to it.
+// Kill stops the entry and closes its connections without waiting for requests.
 func (e *Entry) Kill() {
 	e.cancel()
 	_ = e.http.Close()
 	e.done.Wait()
 }
 
-// knows reports whether the entry has a use for so many agents.
+// knows reports whether the entry is ready and exactly the given number of agents
+// accept work and have free cores.
 func (e *Entry) knows(agents int) bool {
 	doc := e.clients.Status()
 	n := 0
--- a/daemon/dev/system_test.go
+++ b/daemon/dev/system_test.go
@@ -17,10 +17,10 @@
 	"github.com/shallotstep/shallotstep/transport/httpclient"
 )
 
-// patience bounds a wait; nothing is asserted of how long anything takes.
+// patience bounds every wait. The tests don't check how long anything takes.
 const patience = 60 * time.Second
 
-// desk is a client of a whole system.
+// desk is a whole system under test with a client of its first entry.
 type desk struct {
 	t  *testing.T
 	is *is.I
@@ -43,8 +43,8 @@
 	t.Cleanup(s.Kill)
 	d := &desk{t: t, is: is.New(t), System: s}
 	d.client = d.clientOf(s.Addr())
-	// An owner that has just taken over knows no agent yet and refuses, which is
-	// true but not what the tests are about. These ids lead to every shard.
+	// An owner that has just taken over a shard knows no agents yet and refuses
+	// jobs. Submit requests whose ids cover every shard until all are served.
 	for i := range 16 {
 		_, f := d.client.SubmitSettled(d.ctx(), d.request(fmt.Sprint("warm-up-", i), 0, true, ""), 100)
 		if f != nil {
@@ -60,8 +60,8 @@
 	return c
 }
 
-// job is a submission of a number of tasks that are at work for ms each and
-// return their places.
+// job returns a job with the given number of tasks, which run for ms milliseconds
+// each and return their index. more is appended to the fields of each payload.
 func (d *desk) job(id string, tasks, ms int, more string) api.Submission {
 	d.t.Helper()
 	var list []string
@@ -72,7 +72,8 @@
 	return d.decode(body)
 }
 
-// request is one task that may be repeated, or may not.
+// request returns a request that runs for ms milliseconds and returns "done". more
+// is appended to the fields of its payload.
 func (d *desk) request(id string, ms int, repeatable bool, more string) api.Submission {
 	d.t.Helper()
 	return d.decode(fmt.Sprintf(`{"service":"bench-desk","kind":"request","id":%q,"deadline_ms":60000,"repeatable":%v,
@@ -94,13 +95,13 @@
 	return ctx
 }
 
-// result is what a call brought.
+// result is the answer to a submission, or its failure.
 type result struct {
 	answer  api.Answer
 	failure *httpclient.Failure
 }
 
-// later submits in the background.
+// later submits in the background and returns a channel that receives the result.
 func (d *desk) later(c *httpclient.Client, s api.Submission) <-chan result {
 	out := make(chan result, 1)
 	go func() {
@@ -110,6 +111,7 @@
 	return out
 }
 
+// complete checks that the result is complete, with each task's index as its result.
 func (d *desk) complete(r result, tasks int) {
 	d.t.Helper()
 	if r.failure != nil {
@@ -121,8 +123,8 @@
 	}
 }
 
-// once checks that each task of a job was started so often, and nothing twice
-// at a time.
+// once checks that the given number of a job's tasks were started exactly once each,
+// and that the ledger has recorded no faults.
 func (d *desk) once(id string, tasks int) {
 	d.t.Helper()
 	started := d.Ledger().Tasks("bench-desk/" + id + ".")
@@ -161,9 +163,9 @@
 	return e
 }
 
-// A caller submits a job, again while it runs, and again when it is done,
-// through either entry. It gets the same whole answer, and each task has run
-// once. Another job under the same id is refused, and never runs.
+// A job is submitted again at another entry while it runs and after it has ended.
+// Every submission must get the complete answer, and each task must run once. A
+// different job under the same id must be refused and must not run.
 func TestResubmissionsJoin(t *testing.T) {
 	d := newDesk(t)
 	other := d.clientOf(d.secondEntry().Addr())
@@ -181,8 +183,9 @@
 	d.once("join", 30)
 }
 
-// A caller hands a job in without waiting, asks how it stands, and gets the
-// results when they are there. An id that nobody knows is not called "not run".
+// A job is submitted without waiting and queried until its results are available. A
+// query for an unknown id must answer unknown and not "not run", because a submission
+// may still be in flight.
 func TestAcceptedNowAskedLater(t *testing.T) {
 	d := newDesk(t)
 	a, f := d.client.Accept(d.ctx(), d.job("later", 3, 400, ""))
@@ -202,8 +205,9 @@
 	d.is.Equal(f.Outcome, state.Unknown)
 }
 
-// Every agent loses power right after a job was accepted, and comes back. The
-// caller was told that its job is accepted, and it runs to its end, once.
+// Guards against losing an accepted job when all agents are killed and restarted. A
+// repeatable request must complete. The tasks of a job that isn't repeatable must not
+// start twice.
 func TestAcceptedJobOutlivesAllAgents(t *testing.T) {
 	d := newDesk(t)
 	again := d.request("again", 700, true, "")
@@ -218,14 +222,15 @@
 		a.Start()
 	}
 	a, f := d.client.SubmitSettled(d.ctx(), again, 100)
-	d.is.True(f == nil) // complete, whatever was cut off
+	d.is.True(f == nil) // complete, although a run may have been cut off
 	d.is.Equal(string(a.Results[0]), `"done"`)
 	a, f = d.client.SubmitSettled(d.ctx(), d.job("power", 6, 700, ""), 100)
 	d.completeOrCutOff(result{a, f}, "power", 6)
 }
 
-// completeOrCutOff checks a job that may not be repeated after its agents were
-// lost: it is whole, or failed for that reason, and each task was started once.
+// completeOrCutOff checks the result of a job that isn't repeatable after its agents
+// were lost: it is complete, or has failed because a task was cut off, and no task
+// was started twice.
 func (d *desk) completeOrCutOff(r result, id string, tasks int) {
 	d.t.Helper()
 	if r.failure == nil {
@@ -236,10 +241,10 @@
 	d.once(id, len(d.Ledger().Tasks("bench-desk/"+id+".")))
 }
 
-// The agent that owns the job is killed while it runs, whichever it is, and the
-// entry that the caller waits at is killed too. The caller asks another entry
-// under the same id and gets the whole answer, or is told that a task was cut off
-// with its agent; no task has run twice.
+// One agent and the entry at which the caller waits are killed while a job runs. The
+// test is repeated with each agent, so the job's owner is killed once. A resubmission
+// under the same id at another entry must get the complete answer, or a failure because
+// a task was cut off with its agent. No task may run twice.
 func TestOwnerAndEntryKilled(t *testing.T) {
 	for i := range domains {
 		d := newDesk(t)
@@ -251,21 +256,21 @@
 		d.Agents()[i].Kill()
 		second.Kill()
 		r := <-waiting
-		d.is.Equal(r.failure.Outcome, state.Unknown) // its entry is gone
+		d.is.Equal(r.failure.Outcome, state.Unknown) // the entry was killed
 		d.Agents()[i].Start()
 		a, f := d.client.SubmitSettled(d.ctx(), s, 100)
 		d.completeOrCutOff(result{a, f}, "owner", 8)
 	}
 }
 
-// A caller gives up while its job runs. The job goes on, and a later submission
-// gets its answer.
+// A caller disconnects while its job runs. The job must keep running, and a later
+// submission must get its answer.
 func TestCallerGoesAway(t *testing.T) {
 	d := newDesk(t)
 	s := d.job("gone", 4, 500, "")
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		_, _ = d.client.Submit(ctx, s) // nobody waits for it
+		_, _ = d.client.Submit(ctx, s) // cancelled below
 	}()
 	d.awaitStarts("gone", 4)
 	cancel()
@@ -273,8 +278,8 @@
 	d.once("gone", 4)
 }
 
-// A job is cancelled. Whoever waits is told, the cancellation is answered as
-// done, and nothing of the job starts after it.
+// A running job is cancelled. The cancellation must be answered as done, the caller that
+// waits must be told, and no further task of the job may start.
 func TestCancel(t *testing.T) {
 	d := newDesk(t)
 	waiting := d.later(d.client, d.job("stop", 60, 3000, ""))
@@ -288,11 +293,11 @@
 	d.is.Equal(r.failure.Outcome, state.Failed)
 	d.complete(<-d.later(d.client, d.job("after", 24, 1, "")), 24)
 	started := len(d.Ledger().Tasks("bench-desk/stop."))
-	d.is.True(started < 60) // those that had to wait never ran
+	d.is.True(started < 60) // queued tasks never ran
 }
 
-// A task fails. One that may be repeated is started anew, up to three times; one
-// that may not is started once, and its job fails for that reason.
+// A task fails. A repeatable one must be started three times before its job fails; one
+// that isn't repeatable must be started only once.
 func TestFailures(t *testing.T) {
 	d := newDesk(t)
 	r := <-d.later(d.client, d.request("once", 10, false, `,"fail":true`))
@@ -304,8 +309,9 @@
 	d.is.Equal(d.Ledger().Started("bench-desk/thrice"), 3)
 }
 
-// A backend server dies with what it runs. A task that may be repeated runs
-// again elsewhere; one that may not fails its job: it may have run.
+// A backend server dies with its running tasks. A job that isn't repeatable must fail,
+// because the lost tasks may have run. A repeatable request submitted afterwards must run
+// at another backend server.
 func TestBackendServerLost(t *testing.T) {
 	d := newDesk(t)
 	lost := d.Executors()[0]
@@ -321,9 +327,9 @@
 	d.is.True(r.failure == nil)
 }
 
-// The store is out of service. A job that runs is answered; a new one can't be
-// recorded, is refused at once as not run, and never runs. Declarations are
-// refused too. When the store is back all is served.
+// The store is unavailable. A running job must be answered. A new job can't be recorded,
+// so it must be refused as not run and must not run. It must be accepted once the store
+// is available again.
 func TestStoreOutOfService(t *testing.T) {
 	d := newDesk(t)
 	running := d.later(d.client, d.job("runs", 4, 800, ""))
@@ -343,14 +349,14 @@
 	d.is.Equal(string(a.Results[0]), `"done"`)
 }
 
-// What the backend servers can never hold, and what the quota doesn't allow, is
-// refused before anything starts, with the reason.
+// A task that is larger than every backend server and a job over the quota must be
+// refused with the reason before anything starts.
 func TestRefusals(t *testing.T) {
 	d := newDesk(t)
 	big := d.decode(`{"service":"bench-desk","kind":"request","id":"big","task":{"payload":1,"memory_mb":900000}}`)
 	r := <-d.later(d.client, big)
 	d.is.Equal(r.failure.Problem.Reason, state.ReasonNeverRunnable)
-	// A hundred seconds' worth of tasks at once: the next caller is refused for as
+	// The job takes the quota of a hundred seconds. Later jobs are refused for that
 	// long, or until the operator has a larger quota.
 	_, f := d.client.Apply(d.ctx(), "haneul", 1, quotaOf(1))
 	d.is.True(f == nil)
@@ -361,16 +367,18 @@
 	d.is.True(r.failure.RetryAfter() > 0)
 	_, f = d.client.Apply(d.ctx(), "haneul", 2, quotaOf(1000))
 	d.is.True(f == nil)
-	a, f := d.client.SubmitSettled(d.ctx(), d.job("more", 1, 1, ""), 5) // comes back when it is told to
+	a, f := d.client.SubmitSettled(d.ctx(), d.job("more", 1, 1, ""), 5) // retries after the time in the refusal
 	d.complete(result{a, f}, 1)
 }
 
-// quotaOf is Haneul's declaration with so many tasks a second.
+// quotaOf returns a declaration of operator haneul with a quota of perSecond tasks per
+// second.
 func quotaOf(perSecond int) []byte {
 	return fmt.Appendf(nil, `{"operator":"haneul","quota":{"tasks_in_flight":1000,"tasks_per_second":%d},
 		"services":[{"name":"bench-desk","region":"jeonbuk","deadline_ms":20000}]}`, perSecond)
 }
 
+// declarationOf returns a declaration of operator haneul with the given priority.
 func declarationOf(priority int) []byte {
 	b, err := json.Marshal(map[string]any{
 		"operator": "haneul", "priority": priority,
@@ -386,9 +394,8 @@
 	return b
 }
 
-// Two operators replace the same version at two entries at the same time, again
-// and again. Each time exactly one of them wins, and the file in force
-// everywhere is the winner's.
+// Two operators concurrently replace the same version at two entries. In each round
+// exactly one must succeed, and its file must be in force at both entries.
 func TestRaceOfOperators(t *testing.T) {
 	d := newDesk(t)
 	e := d.secondEntry()
@@ -425,9 +432,8 @@
 	}
 }
 
-// The store carries an apply out, and its answers are lost for a while. The
-// operator is told that it is in force, or that it may be; it is applied once,
-// and sending it again on the same base does no harm.
+// The store carries out an apply while its responses are lost. The apply must take effect
+// exactly once, and a retry against the same base must succeed without a new version.
 func TestLostAnswersToAnApply(t *testing.T) {
 	d := newDesk(t)
 	d.Store().Fail("entry", standin.Lost)
@@ -437,7 +443,7 @@
 	}()
 	_, f := d.client.ApplySettled(d.ctx(), "haneul", 1, declarationOf(7))
 	if f != nil && f.Outcome == state.NotRun && f.Problem.Reason != state.ReasonLostRace {
-		_, f = d.client.ApplySettled(d.ctx(), "haneul", 1, declarationOf(7)) // it was not carried out, truly
+		_, f = d.client.ApplySettled(d.ctx(), "haneul", 1, declarationOf(7)) // the first apply was not carried out
 	}
 	d.is.True(f == nil)
 	again, f := d.client.Apply(d.ctx(), "haneul", 1, declarationOf(7))
@@ -448,9 +454,9 @@
 	d.is.Equal(len(h.Entries), 2)
 }
 
-// A service belongs to the operator that declared it first, in its region, also
-// after its file has dropped it: jobs are known by service and id, and another
-// operator's would find its answers.
+// A service must keep its first operator and its region, even after the operator's file
+// no longer names it. Jobs are identified by service and id, so another operator's jobs
+// would get the answers of the earlier ones.
 func TestServicesKeepTheirOwnerAndRegion(t *testing.T) {
 	d := newDesk(t)
 	file := func(operator, region, service string) []byte {
@@ -464,12 +470,13 @@
 	d.is.Equal(f.Problem.Reason, state.ReasonRegionFixed)
 	r := <-d.later(d.client, d.request("x", 1, true, ""))
 	d.is.Equal(r.failure.Problem.Reason, state.ReasonUnknownService)
-	d.is.Equal(r.failure.Outcome, state.Unknown) // another entry may know more
+	d.is.Equal(r.failure.Outcome, state.Unknown) // another entry may have a newer declaration
 	_, f = d.client.Apply(d.ctx(), "haneul", 2, file("haneul", "jeonbuk", "bench-desk"))
 	d.is.True(f == nil)
 }
 
-// The system is stopped as planned with a job under way: it is answered whole.
+// The system is shut down gracefully while a job runs. The job must get its complete
+// answer.
 func TestPlannedStopCutsNothingOff(t *testing.T) {
 	d := newDesk(t)
 	waiting := d.later(d.client, d.job("last", 24, 600, ""))
@@ -480,11 +487,11 @@
 	if err == nil {
 		conn.Close()
 	}
-	d.is.True(err != nil) // nobody listens any more
+	d.is.True(err != nil) // the listener is closed
 }
 
-// A declaration that restricts a service to racks is refused: nothing places by
-// racks, and tasks would run where their operator has ruled it out.
+// A declaration that restricts a service to racks must be refused. Tasks aren't placed by
+// rack, so they would run where the operator has ruled it out.
 func TestPlacementByRackIsRefused(t *testing.T) {
 	d := newDesk(t)
 	_, f := d.client.Apply(d.ctx(), "haneul", 1, []byte(`{"operator":"haneul","quota":{"tasks_in_flight":1,"tasks_per_second":1},
@@ -493,7 +500,7 @@
 	d.is.Equal(f.Outcome, state.NotRun)
 }
 
-// A service is declared for one failure domain. All its tasks run there.
+// All tasks of a service that is declared for one failure domain must run there.
 func TestPlacementByDomain(t *testing.T) {
 	d := newDesk(t)
 	_, f := d.client.Apply(d.ctx(), "haneul", 1, []byte(`{"operator":"haneul","quota":{"tasks_in_flight":1000,"tasks_per_second":1000},
