--- a/daemon/memlimit/memlimit.go
+++ b/daemon/memlimit/memlimit.go
@@ -1,8 +1,8 @@
-// Package memlimit holds a process's memory under a soft limit of Go's collector
-// for as long as what lives allows it.
+// Package memlimit keeps a process's memory under a soft limit of the Go garbage
+// collector for as long as the live heap fits into it.
 //
-// By default the collector lets the heap grow to twice what lives. A limit makes
-// it collect earlier instead, at no cost while the process is far below.
+// By default the collector lets the heap grow to twice the live heap. A limit makes
+// it collect earlier, and costs nothing while memory use is far below the limit.
 package memlimit
 
 import (
@@ -13,15 +13,16 @@
 	"sync"
 )
 
-// room is how far the heap may grow beyond what lives before the next
-// collection, whatever the limit. A process that needs more than its limit would
-// otherwise collect without pause, with up to half of the machine's processors,
-// and stall all that it serves. With a half it collects twice as often as the
-// default would.
+// room is the fraction of the live heap by which the heap may always grow before the
+// next collection, whatever the limit. Without it, a process whose live heap exceeds
+// the limit would collect continuously with up to half of the machine's processors
+// and stall its requests. With 0.5 it collects at most twice as often as with the
+// runtime's default.
 const room = 0.5
 
-// The runtime's figures: live heap after the last collection, everything that
-// counts against the limit, and the parts of it that are heap.
+// Names of the runtime metrics that are read: the live heap after the last
+// collection, all memory of the runtime, and the parts of that memory which are heap
+// objects, free heap or released to the operating system.
 const (
 	liveHeap = "/gc/heap/live:bytes"
 	total    = "/memory/classes/total:bytes"
@@ -30,19 +31,19 @@
 	released = "/memory/classes/heap/released:bytes"
 )
 
-// Limit is a limit in force. It is safe for concurrent use.
+// Limit is a memory limit in force. It is safe for concurrent use.
 type Limit struct {
 	bytes int64
 	mu    sync.Mutex
 	// stopped is guarded by mu.
 	stopped bool
-	// changed is told after each collection; for tests, may be nil.
+	// changed is called after each adjustment of the limit. Only tests set it.
 	changed func()
 }
 
-// Set puts a limit in bytes into force and looks after it following each
-// collection. Zero leaves the runtime as it is and returns a Limit that does
-// nothing.
+// Set sets a memory limit in bytes and adjusts it after each collection. If bytes is
+// zero or negative, Set leaves the runtime's limit unchanged and returns a Limit that
+// does nothing.
 func Set(bytes int64) *Limit { return set(bytes, nil) }
 
 func set(bytes int64, changed func()) *Limit {
@@ -54,7 +55,7 @@
 	return l
 }
 
-// Stop takes the limit away.
+// Stop removes the limit.
 func (l *Limit) Stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,7 +65,8 @@
 	}
 }
 
-// arm leaves garbage whose cleanup tells of the end of the next collection.
+// arm allocates an unreachable object whose cleanup calls collected after the next
+// collection.
 func (l *Limit) arm() {
 	garbage := new([16]byte)
 	runtime.AddCleanup(garbage, (*Limit).collected, l)
@@ -83,11 +85,11 @@
 	}
 }
 
-// usage is what the runtime holds, in bytes.
+// usage is the memory use of the runtime in bytes.
 type usage struct {
 	live uint64
-	// other is what counts against the limit and is no heap that could grow:
-	// stacks, the runtime's own, and gaps between objects.
+	// other is the memory that counts against the limit but isn't available to heap
+	// objects: stacks, runtime structures, and fragmentation.
 	other uint64
 }
 
@@ -101,8 +103,8 @@
 	return u
 }
 
-// limitFor returns the limit to be in force: the set one, or as much as leaves
-// room beyond what lives.
+// limitFor returns the limit to set for the given use: the configured one, or a higher
+// one if the live heap could not grow by room under it.
 func limitFor(set int64, u usage) int64 {
 	needed := int64(u.live) + int64(float64(u.live)*room) + int64(u.other)
 	return max(set, needed)
--- a/daemon/memlimit/memlimit_test.go
+++ b/daemon/memlimit/memlimit_test.go
@@ -11,9 +11,10 @@
 
 const megabyte = 1 << 20
 
-// A process holds more than its limit, as an agent does whose claims outgrow
-// what its operator planned for. The collector would run without pause and take
-// half of the host; so the limit must give way, and come back when it can.
+// The live heap exceeds the limit, for example in an agent with more claims than its
+// operator planned for. With a fixed limit the collector would run continuously and use
+// half of the host's processors. The limit must rise with the live heap and return to
+// the configured value when the live heap shrinks.
 func TestLimitGivesWayToWhatLives(t *testing.T) {
 	is := is.New(t)
 	collected := make(chan struct{}, 1)
@@ -25,8 +26,8 @@
 	})
 	defer l.Stop()
 	after := func() int64 {
-		// The first collection finds what lives, the second may have begun
-		// before it was allocated.
+		// Collect twice, because the first collection may have begun before the
+		// latest allocation.
 		for range 2 {
 			runtime.GC()
 			<-collected
@@ -48,7 +49,7 @@
 	is.Equal(limitFor(64*megabyte, usage{live: 80 * megabyte, other: 10 * megabyte}), int64(130*megabyte))
 }
 
-// No limit leaves alone what the environment has set.
+// Without a limit, the limit that the environment has set must stay.
 func TestNoLimit(t *testing.T) {
 	is := is.New(t)
 	before := debug.SetMemoryLimit(-1)
