--- a/protocol/api/answer.go
+++ b/protocol/api/answer.go
@@ -77,9 +77,9 @@
 func (a Answer) Encode() ([]byte, error) { return marshal(a) }
 
 func statsOf(s state.Stats) *Stats {
-	return &Stats{LongestMS: fractionMS(s.Longest), TotalMS: fractionMS(s.Total), CoreMS: fractionMS(s.Cores), ElapsedMS: fractionMS(s.Elapsed)}
+	return &Stats{LongestMS: floatMS(s.Longest), TotalMS: floatMS(s.Total), CoreMS: floatMS(s.Cores), ElapsedMS: floatMS(s.Elapsed)}
 }
 
-func fractionMS(d time.Duration) float64 {
+func floatMS(d time.Duration) float64 {
 	return float64(d.Microseconds()) / float64(time.Millisecond/time.Microsecond)
 }
--- a/protocol/api/answer_test.go
+++ b/protocol/api/answer_test.go
@@ -12,7 +12,7 @@
 
 // A complete answer with too few results, too many, or one that is not JSON must
 // be rejected: the caller gets a result for every task or an error.
-func TestAnswerIsWholeOrNone(t *testing.T) {
+func TestAnswerOfRejectsPartialResults(t *testing.T) {
 	is := is.New(t)
 	raw := func(values ...string) [][]byte {
 		out := [][]byte{}
@@ -53,17 +53,17 @@
 	is.Equal(p.RetryAfterSeconds(), "2") // rounded up
 	body, err := EncodeDocument(p)
 	is.NoErr(err)
-	var back Problem
-	is.NoErr(json.Unmarshal(body, &back))
-	is.Equal(back, *p)
+	var decoded Problem
+	is.NoErr(json.Unmarshal(body, &decoded))
+	is.Equal(decoded, *p)
 
 	is.True(ProblemOf(state.Answer{Outcome: state.Complete}) == nil)
 	is.True(ProblemOf(state.Answer{Outcome: state.Pending}) == nil)
 	// A failed answer without a reason becomes an internal error, and a problem
 	// document without an outcome is read as unknown. Neither is read as "not run".
 	is.Equal(ProblemOf(state.Answer{Outcome: state.Failed}).Reason, state.ReasonInternal)
-	is.NoErr(json.Unmarshal([]byte(`{"title":"Bad gateway"}`), &back))
-	is.Equal(back.Outcome, state.Unknown)
+	is.NoErr(json.Unmarshal([]byte(`{"title":"Bad gateway"}`), &decoded))
+	is.Equal(decoded.Outcome, state.Unknown)
 }
 
 func TestEveryReasonHasATitle(t *testing.T) {
--- a/protocol/api/body.go
+++ b/protocol/api/body.go
@@ -11,7 +11,7 @@
 // encoding of the same value would be refused as an id conflict.
 func (s *Submission) Body() []byte {
 	b := append([]byte(nil), `{"id":`...)
-	b = appendText(b, s.Job.Key.ID)
+	b = appendString(b, s.Job.Key.ID)
 	b = appendMillis(b, "deadline_ms", s.Deadline)
 	if s.Kind == KindRequest {
 		b = append(b, `,"repeatable":`...)
@@ -38,19 +38,19 @@
 		b = append(b, `,"cores":`...)
 		b = strconv.AppendFloat(b, t.Cores, 'g', -1, 64)
 	}
-	b = appendWhole(b, "memory_mb", t.MemoryMB)
-	b = appendWhole(b, "accelerators", t.Accelerators)
+	b = appendInt(b, "memory_mb", t.MemoryMB)
+	b = appendInt(b, "accelerators", t.Accelerators)
 	b = appendMillis(b, "expected_ms", t.Expected)
 	return append(b, '}')
 }
 
 func appendMillis(b []byte, name string, d time.Duration) []byte {
-	return appendWhole(b, name, d.Milliseconds())
+	return appendInt(b, name, d.Milliseconds())
 }
 
-// appendWhole appends an integer field. It omits zero, which means that the
+// appendInt appends an integer field. It omits zero, which means that the
 // caller did not set the field.
-func appendWhole(b []byte, name string, n int64) []byte {
+func appendInt(b []byte, name string, n int64) []byte {
 	if n == 0 {
 		return b
 	}
@@ -60,7 +60,7 @@
 	return strconv.AppendInt(b, n, 10)
 }
 
-func appendText(b []byte, s string) []byte {
+func appendString(b []byte, s string) []byte {
 	text, err := json.Marshal(s)
 	if err != nil {
 		panic(err) // marshalling a string never fails
--- a/protocol/api/document.go
+++ b/protocol/api/document.go
@@ -77,9 +77,9 @@
 	Entries []DrainEntry `json:"entries"`
 }
 
-// DrainSet is the response to a request that drains a failure domain or ends its
+// DrainApplied is the response to a request that drains a failure domain or ends its
 // drain.
-type DrainSet struct {
+type DrainApplied struct {
 	Domain  string        `json:"domain"`
 	Drained bool          `json:"drained"`
 	Version state.Version `json:"version"`
--- a/protocol/api/name.go
+++ b/protocol/api/name.go
@@ -47,15 +47,15 @@
 func CheckID(id string) *Problem { return checkName("id", id) }
 
 // CheckService rejects an invalid service name.
-func CheckService(name string) *Problem { return checkPlainName("service", name) }
+func CheckService(name string) *Problem { return checkNameWithoutSlash("service", name) }
 
 // CheckOperator rejects an invalid operator name.
-func CheckOperator(name string) *Problem { return checkPlainName("operator", name) }
+func CheckOperator(name string) *Problem { return checkNameWithoutSlash("operator", name) }
 
 // CheckDomain rejects an invalid failure domain name.
-func CheckDomain(name string) *Problem { return checkPlainName("failure domain", name) }
+func CheckDomain(name string) *Problem { return checkNameWithoutSlash("failure domain", name) }
 
-func checkPlainName(field, name string) *Problem {
+func checkNameWithoutSlash(field, name string) *Problem {
 	if strings.Contains(name, "/") {
 		return malformed("%s holds a slash", field)
 	}
--- a/protocol/api/problem.go
+++ b/protocol/api/problem.go
@@ -119,7 +119,7 @@
 		ID:           p.ID,
 		Outcome:      Outcome(p.Outcome),
 		Reason:       p.Reason,
-		RetryAfterMS: wholeMS(p.RetryAfter),
+		RetryAfterMS: ceilMS(p.RetryAfter),
 		Version:      p.Version,
 	})
 }
@@ -146,9 +146,9 @@
 	return nil
 }
 
-// wholeMS returns d in milliseconds, rounded up so that a short wait doesn't
+// ceilMS returns d in milliseconds, rounded up so that a short wait doesn't
 // become zero.
-func wholeMS(d time.Duration) int64 {
+func ceilMS(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
 
--- a/protocol/api/read.go
+++ b/protocol/api/reader.go
@@ -18,8 +18,8 @@
 // same bytes.
 type reader struct {
 	dec *json.Decoder
-	// at is the path of the object being read. It is empty for the whole body.
-	at string
+	// objectPath is the path of the object being read. It is empty for the whole body.
+	objectPath string
 	// scratch holds the raw text of the last scalar read.
 	scratch json.RawMessage
 }
@@ -45,7 +45,7 @@
 	return NewProblem(state.ReasonTooLarge, state.NotRun, "the body is over %d bytes", state.MaxBodyBytes)
 }
 
-func syntax(err error) *Problem {
+func syntaxProblem(err error) *Problem {
 	if err == io.EOF || err == io.ErrUnexpectedEOF {
 		return malformed("the body is not JSON: it ends too early")
 	}
@@ -53,42 +53,42 @@
 }
 
 // object reads an object and calls field for each name; field must read the
-// value. at is the path of the object in error messages.
-func (r *reader) object(at string, field func(name string) *Problem) *Problem {
-	if p := r.open(at, '{', "an object"); p != nil {
+// value. path is the path of the object in error messages.
+func (r *reader) object(path string, field func(name string) *Problem) *Problem {
+	if p := r.openDelim(path, '{', "an object"); p != nil {
 		return p
 	}
-	outer := r.at
-	r.at = at
-	defer func() { r.at = outer }()
+	outer := r.objectPath
+	r.objectPath = path
+	defer func() { r.objectPath = outer }()
 	var seen []string
 	for r.dec.More() {
 		tok, err := r.dec.Token()
 		if err != nil {
-			return syntax(err)
+			return syntaxProblem(err)
 		}
 		name, ok := tok.(string)
 		if !ok {
 			return malformed("the body is not JSON: a name is missing")
 		}
 		if slices.Contains(seen, name) {
-			return malformed("duplicate field %q", r.path(name))
+			return malformed("duplicate field %q", r.fieldPath(name))
 		}
 		if len(seen) == maxFields {
-			return malformed("%s has more than %d fields", bodyOr(at), maxFields)
+			return malformed("%s has more than %d fields", pathOrBody(path), maxFields)
 		}
 		seen = append(seen, name)
 		if p := field(name); p != nil {
 			return p
 		}
 	}
-	return r.close()
+	return r.closeDelim()
 }
 
 // array reads an array field and calls element for each index; element must read
 // the value.
 func (r *reader) array(name string, element func(i int) *Problem) *Problem {
-	if p := r.open(r.path(name), '[', "an array"); p != nil {
+	if p := r.openDelim(r.fieldPath(name), '[', "an array"); p != nil {
 		return p
 	}
 	for i := 0; r.dec.More(); i++ {
@@ -96,36 +96,36 @@
 			return p
 		}
 	}
-	return r.close()
+	return r.closeDelim()
 }
 
-func (r *reader) open(at string, want json.Delim, kind string) *Problem {
+func (r *reader) openDelim(path string, want json.Delim, kind string) *Problem {
 	tok, err := r.dec.Token()
 	if err != nil {
-		return syntax(err)
+		return syntaxProblem(err)
 	}
 	if tok != want {
-		return malformed("%s must be %s", bodyOr(at), kind)
+		return malformed("%s must be %s", pathOrBody(path), kind)
 	}
 	return nil
 }
 
-func bodyOr(at string) string {
-	if at == "" {
+func pathOrBody(path string) string {
+	if path == "" {
 		return "the body"
 	}
-	return at
+	return path
 }
 
-func (r *reader) close() *Problem {
+func (r *reader) closeDelim() *Problem {
 	if _, err := r.dec.Token(); err != nil {
-		return syntax(err)
+		return syntaxProblem(err)
 	}
 	return nil
 }
 
-// end rejects anything after the value.
-func (r *reader) end() *Problem {
+// expectEnd rejects anything after the value.
+func (r *reader) expectEnd() *Problem {
 	if _, err := r.dec.Token(); err != io.EOF {
 		return malformed("the body holds more than one JSON value")
 	}
@@ -135,7 +135,7 @@
 // scalar reads one value into r.scratch.
 func (r *reader) scalar() *Problem {
 	if err := r.dec.Decode(&r.scratch); err != nil {
-		return syntax(err)
+		return syntaxProblem(err)
 	}
 	return nil
 }
@@ -145,15 +145,15 @@
 		return p
 	}
 	if r.scratch[0] != '"' {
-		return malformed("%s must be a string", r.path(name))
+		return malformed("%s must be a string", r.fieldPath(name))
 	}
 	if err := json.Unmarshal(r.scratch, out); err != nil {
-		return syntax(err)
+		return syntaxProblem(err)
 	}
 	return nil
 }
 
-func (r *reader) flag(name string, out *bool) *Problem {
+func (r *reader) boolean(name string, out *bool) *Problem {
 	if p := r.scalar(); p != nil {
 		return p
 	}
@@ -163,19 +163,19 @@
 	case "false":
 		*out = false
 	default:
-		return malformed("%s must be true or false", r.path(name))
+		return malformed("%s must be true or false", r.fieldPath(name))
 	}
 	return nil
 }
 
-// whole reads an integer from 0 to limit.
-func (r *reader) whole(name string, limit int64, out *int64) *Problem {
+// integer reads an integer from 0 to limit.
+func (r *reader) integer(name string, limit int64, out *int64) *Problem {
 	if p := r.scalar(); p != nil {
 		return p
 	}
 	n, err := strconv.ParseInt(string(r.scratch), 10, 64)
 	if err != nil || n < 0 || n > limit {
-		return malformed("%s must be a whole number from 0 to %d", r.path(name), limit)
+		return malformed("%s must be a whole number from 0 to %d", r.fieldPath(name), limit)
 	}
 	*out = n
 	return nil
@@ -190,7 +190,7 @@
 	// rejected these already. Strings and null fail here.
 	f, err := strconv.ParseFloat(string(r.scratch), 64)
 	if err != nil || math.IsNaN(f) || f < 0 || f > limit {
-		return malformed("%s must be a number from 0 to %g", r.path(name), limit)
+		return malformed("%s must be a number from 0 to %g", r.fieldPath(name), limit)
 	}
 	// Adding zero turns -0 into 0. The two have different bit patterns, so -0
 	// would give the same job another digest.
@@ -198,23 +198,23 @@
 	return nil
 }
 
-// value reads the raw text of any value except null.
-func (r *reader) value(name string, out *[]byte) *Problem {
+// rawValue reads the raw text of any value except null.
+func (r *reader) rawValue(name string, out *[]byte) *Problem {
 	var raw json.RawMessage
 	if err := r.dec.Decode(&raw); err != nil {
-		return syntax(err)
+		return syntaxProblem(err)
 	}
 	if string(raw) == "null" {
-		return malformed("%s must not be null", r.path(name))
+		return malformed("%s must not be null", r.fieldPath(name))
 	}
 	*out = raw
 	return nil
 }
 
-// path returns the path of a field of the object being read, for error messages.
-func (r *reader) path(name string) string {
-	if r.at == "" {
+// fieldPath returns the path of a field of the object being read, for error messages.
+func (r *reader) fieldPath(name string) string {
+	if r.objectPath == "" {
 		return name
 	}
-	return r.at + "." + name
+	return r.objectPath + "." + name
 }
--- a/protocol/api/submission.go
+++ b/protocol/api/submission.go
@@ -34,8 +34,8 @@
 	Job  state.Job
 	// Deadline is how long the caller waits. Zero means that none was given.
 	Deadline time.Duration
-	// RepeatableStated reports whether a request gives a value for "repeatable".
-	RepeatableStated bool
+	// RepeatableSet reports whether a request gives a value for "repeatable".
+	RepeatableSet bool
 }
 
 // DecodeJob decodes the body of a POST to a service's jobs. headerKey is the value
@@ -133,7 +133,7 @@
 	if p := d.object("", d.field); p != nil {
 		return p
 	}
-	return d.end()
+	return d.expectEnd()
 }
 
 func (d *decoder) field(name string) *Problem {
@@ -169,7 +169,7 @@
 
 func (d *decoder) jobField(name string) *Problem {
 	if name != "tasks" {
-		return d.unknown(name)
+		return d.unknownField(name)
 	}
 	return d.array(name, func(i int) *Problem {
 		if i == state.MaxTasksPerJob {
@@ -182,23 +182,23 @@
 func (d *decoder) requestField(name string) *Problem {
 	switch name {
 	case "repeatable":
-		d.sub.RepeatableStated = true
-		return d.flag(name, &d.sub.Job.Repeatable)
+		d.sub.RepeatableSet = true
+		return d.boolean(name, &d.sub.Job.Repeatable)
 	case "task":
 		return d.task(name)
 	}
-	return d.unknown(name)
+	return d.unknownField(name)
 }
 
 // task reads one task and appends it to the job's tasks.
-func (d *decoder) task(at string) *Problem {
+func (d *decoder) task(path string) *Problem {
 	var t state.Task
-	p := d.object(at, func(name string) *Problem { return d.taskField(name, &t) })
+	p := d.object(path, func(name string) *Problem { return d.taskField(name, &t) })
 	if p != nil {
 		return p
 	}
 	if t.Payload == nil {
-		return malformed("%s.payload is missing", at)
+		return malformed("%s.payload is missing", path)
 	}
 	d.sub.Job.Tasks = append(d.sub.Job.Tasks, t)
 	return nil
@@ -207,26 +207,26 @@
 func (d *decoder) taskField(name string, t *state.Task) *Problem {
 	switch name {
 	case "payload":
-		return d.value(name, &t.Payload)
+		return d.rawValue(name, &t.Payload)
 	case "cores":
 		return d.number(name, MaxCores, &t.Cores)
 	case "memory_mb":
-		return d.whole(name, MaxMemoryMB, &t.MemoryMB)
+		return d.integer(name, MaxMemoryMB, &t.MemoryMB)
 	case "accelerators":
-		return d.whole(name, MaxAccelerators, &t.Accelerators)
+		return d.integer(name, MaxAccelerators, &t.Accelerators)
 	case "expected_ms":
 		return d.millis(name, MaxExpected, &t.Expected)
 	}
-	return d.unknown(name)
+	return d.unknownField(name)
 }
 
-func (d *decoder) unknown(name string) *Problem {
-	return malformed("unknown field %q", d.path(name))
+func (d *decoder) unknownField(name string) *Problem {
+	return malformed("unknown field %q", d.fieldPath(name))
 }
 
 func (d *decoder) millis(name string, limit time.Duration, out *time.Duration) *Problem {
 	var ms int64
-	if p := d.whole(name, limit.Milliseconds(), &ms); p != nil {
+	if p := d.integer(name, limit.Milliseconds(), &ms); p != nil {
 		return p
 	}
 	*out = time.Duration(ms) * time.Millisecond
--- a/protocol/api/submission_test.go
+++ b/protocol/api/submission_test.go
@@ -18,7 +18,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-const goodJob = `{"id":"j1","deadline_ms":2500,"tasks":[
+const validJob = `{"id":"j1","deadline_ms":2500,"tasks":[
   {"payload": {"doll": 7},"cores":0.5,"memory_mb":64,"accelerators":1,"expected_ms":120},
   {"payload":"x"}]}`
 
@@ -79,12 +79,12 @@
 	is.Equal(p.Status, http.StatusRequestEntityTooLarge)
 	is.Equal(p.Outcome, state.NotRun)
 
-	large := goodJob + strings.Repeat(" ", state.MaxBodyBytes)
+	large := validJob + strings.Repeat(" ", state.MaxBodyBytes)
 	_, _, p = DecodeJob("s", "", []byte(large))
 	is.Equal(p.Reason, state.ReasonTooLarge)
 	is.Equal(p.Status, http.StatusRequestEntityTooLarge)
 
-	_, _, p = DecodeJob("a/b", "", []byte(goodJob))
+	_, _, p = DecodeJob("a/b", "", []byte(validJob))
 	is.Equal(p.Reason, state.ReasonMalformed) // service name
 	_, _, p = DecodeJob("s", strings.Repeat("a", state.MaxIDLength+1), []byte(`{"tasks":[{"payload":1}]}`))
 	is.Equal(p.Detail, "id is longer than 128 bytes")
@@ -94,7 +94,7 @@
 
 func TestDecodeJobReadsAllFields(t *testing.T) {
 	is := is.New(t)
-	job, deadline, p := DecodeJob("bench-desk", "", []byte(goodJob))
+	job, deadline, p := DecodeJob("bench-desk", "", []byte(validJob))
 	is.True(p == nil)
 	is.Equal(deadline, 2500*time.Millisecond)
 	is.Equal(job.Key, state.JobKey{Service: "bench-desk", ID: "j1"})
@@ -111,7 +111,7 @@
 		sub, p := Decode(KindRequest, "s", "", []byte(`{"id":"q",`+field+`"task":{"payload":[1]}}`))
 		is.True(p == nil)
 		is.Equal(sub.Job.Repeatable, want)
-		is.Equal(sub.RepeatableStated, field != "")
+		is.Equal(sub.RepeatableSet, field != "")
 	}
 }
 
@@ -129,7 +129,7 @@
 // job with the same digest. Otherwise a resubmission would be refused as another
 // job under the same id.
 func FuzzDecode(f *testing.F) {
-	f.Add("", []byte(goodJob))
+	f.Add("", []byte(validJob))
 	f.Add("k", []byte(`{"tasks":[{"payload":"\u003c"}]}`))
 	f.Add("", []byte(`{"id":"q","repeatable":true,"deadline_ms":9,"task":{"payload":{"a":-0.0}, "cores":-0.0}}`))
 	f.Add("", []byte(`{"id":"a/b","tasks":[{"payload":[[]],"cores":1e-7,"memory_mb":-0}]}`))
--- a/protocol/core/record.go
+++ b/protocol/core/record.go
@@ -34,17 +34,17 @@
 // tasksToWire returns the wire form of the tasks, or nil if no task has progress,
 // failures or crashes to record.
 func tasksToWire(tasks []job.TaskRecord) []*corepb.TaskRecord {
-	settled := false
+	hasProgress := false
 	out := make([]*corepb.TaskRecord, len(tasks))
 	for i := range tasks {
 		t := &tasks[i]
-		settled = settled || t.Done || t.Failures > 0 || t.Checkpoint != "" || t.Result != "" || len(t.Crashes) > 0
+		hasProgress = hasProgress || t.Done || t.Failures > 0 || t.Checkpoint != "" || t.Result != "" || len(t.Crashes) > 0
 		out[i] = &corepb.TaskRecord{
 			Done: t.Done, Failures: int32(t.Failures), Checkpoint: t.Checkpoint, Result: t.Result, WorkUs: t.Work.Microseconds(),
 			Crashes: crashesToWire(t.Crashes),
 		}
 	}
-	if !settled {
+	if !hasProgress {
 		return nil
 	}
 	return out
@@ -72,8 +72,8 @@
 
 // tasksFromWire is the inverse of tasksToWire. It returns at least the given number
 // of tasks, because tasksToWire may have omitted all of them.
-func tasksFromWire(in []*corepb.TaskRecord, least int) []job.TaskRecord {
-	out := make([]job.TaskRecord, max(least, len(in)))
+func tasksFromWire(in []*corepb.TaskRecord, minTasks int) []job.TaskRecord {
+	out := make([]job.TaskRecord, max(minTasks, len(in)))
 	for i, t := range in {
 		out[i] = job.TaskRecord{
 			Done: t.GetDone(), Failures: int(t.GetFailures()), Checkpoint: t.GetCheckpoint(),
--- a/transport/httpapi/drains.go
+++ b/transport/httpapi/drains.go
@@ -22,7 +22,7 @@
 		x.refuse(applyProblem(applied))
 		return
 	}
-	x.answer(api.DrainSet{Domain: domain, Drained: drained, Version: applied.Version, Outcome: api.Outcome(state.Complete)})
+	x.answer(api.DrainApplied{Domain: domain, Drained: drained, Version: applied.Version, Outcome: api.Outcome(state.Complete)})
 }
 
 func (s *server) listDrains(x *exchange) {
--- a/transport/httpapi/jobs.go
+++ b/transport/httpapi/jobs.go
@@ -93,7 +93,7 @@
 	if sub.Deadline == 0 {
 		sub.Deadline = spec.Deadline
 	}
-	if sub.Kind == api.KindRequest && !sub.RepeatableStated {
+	if sub.Kind == api.KindRequest && !sub.RepeatableSet {
 		sub.Job.Repeatable = spec.Repeatable
 	}
 	return nil
--- a/transport/httpclient/calls.go
+++ b/transport/httpclient/calls.go
@@ -105,12 +105,12 @@
 }
 
 // SetDrain drains a failure domain, or ends its drain.
-func (c *Client) SetDrain(ctx context.Context, domain string, drained bool) (api.DrainSet, *Failure) {
+func (c *Client) SetDrain(ctx context.Context, domain string, drained bool) (api.DrainApplied, *Failure) {
 	method := http.MethodDelete
 	if drained {
 		method = http.MethodPut
 	}
-	return document[api.DrainSet](ctx, c, call{method: method, path: []string{"v1", "drains", domain}})
+	return document[api.DrainApplied](ctx, c, call{method: method, path: []string{"v1", "drains", domain}})
 }
 
 // Drains lists the failure domains.
