--- a/daemon/clients/answer.go
+++ b/daemon/clients/answer.go
@@ -8,9 +8,9 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// reasons maps the reasons in verdicts of owners and entries to the reasons of the
-// HTTP interface.
-var reasons = map[string]state.Reason{
+// verdictReasons maps the reasons in verdicts of owners and entries to the reasons
+// of the HTTP interface.
+var verdictReasons = map[string]state.Reason{
 	owner.ReasonOverload: state.ReasonOverload,
 	owner.ReasonNoWorker: state.ReasonNoBackend,
 	owner.ReasonDrained:  state.ReasonDomainDrained,
@@ -22,22 +22,22 @@
 }
 
 func reasonOf(v owner.Verdict) state.Reason {
-	if r, ok := reasons[v.Reason]; ok {
+	if r, ok := verdictReasons[v.Reason]; ok {
 		return r
 	}
 	return state.ReasonUndocumented
 }
 
-func refused(key state.JobKey, r state.Reason, after time.Duration) state.Answer {
+func refusedAnswer(key state.JobKey, r state.Reason, after time.Duration) state.Answer {
 	return state.Answer{Key: key, Outcome: state.NotRun, Reason: r, RetryAfter: after}
 }
 
-// failed returns the answer for a verdict other than OK, which has no state of a
-// job.
-func failed(key state.JobKey, v owner.Verdict) state.Answer {
+// failureAnswer returns the answer for a verdict other than OK, which has no job
+// state.
+func failureAnswer(key state.JobKey, v owner.Verdict) state.Answer {
 	switch v.Outcome {
 	case owner.Refused:
-		return refused(key, reasonOf(v), v.RetryAfter)
+		return refusedAnswer(key, reasonOf(v), v.RetryAfter)
 	case owner.Absent:
 		// A submission of the job may be in flight and be accepted later.
 		return state.Answer{Key: key, Outcome: state.Unknown, Reason: state.ReasonUnknownJob}
@@ -48,11 +48,11 @@
 // answerOf returns the answer for a verdict about a job.
 func answerOf(key state.JobKey, v owner.Verdict) state.Answer {
 	if v.Outcome != owner.OK {
-		return failed(key, v)
+		return failureAnswer(key, v)
 	}
 	switch v.State {
 	case job.Completed:
-		return complete(key, v)
+		return completeAnswer(key, v)
 	case job.Cancelled:
 		return state.Answer{Key: key, Outcome: state.Failed, Reason: state.ReasonCancelled}
 	case job.Failed:
@@ -78,7 +78,7 @@
 	return time.Duration(sum * float64(time.Second))
 }
 
-func complete(key state.JobKey, v owner.Verdict) state.Answer {
+func completeAnswer(key state.JobKey, v owner.Verdict) state.Answer {
 	a := state.Answer{Key: key, Outcome: state.Complete, Results: make([][]byte, len(v.Tasks))}
 	for i, t := range v.Tasks {
 		a.Results[i] = []byte(t.Result)
--- a/daemon/clients/apply.go
+++ b/daemon/clients/apply.go
@@ -14,9 +14,9 @@
 	"github.com/shallotstep/shallotstep/state/store"
 )
 
-// declarer is the name of the producer of all declarations. Concurrent writers use
-// the same name with different epochs.
-const declarer = "operators"
+// declarationProducer is the name of the producer of all declarations. Concurrent
+// writers use the same name with different epochs.
+const declarationProducer = "operators"
 
 // Apply implements httpapi.Declarer. It replaces an operator's declaration if base
 // is the version in force.
@@ -37,7 +37,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	a := applying{Declarations: d, fencedWriter: newFencedWriter(d.store, DeclarationsPartition, declarer), operator: operator, base: base, raw: raw, file: file}
+	a := applyOperation{Declarations: d, fencedWriter: newFencedWriter(d.store, DeclarationsPartition, declarationProducer), operator: operator, base: base, raw: raw, file: file}
 	out := a.run(ctx)
 	klog.InfoS("Apply", "operator", operator, "base", base, "version", out.Version, "outcome", out.Outcome, "reason", out.Reason)
 	return out
@@ -47,8 +47,8 @@
 	return state.Applied{Version: version, Outcome: state.NotRun, Reason: r, Detail: detail}
 }
 
-// applying is an apply in progress.
-type applying struct {
+// applyOperation is an apply in progress.
+type applyOperation struct {
 	*Declarations
 	*fencedWriter
 	operator string
@@ -57,11 +57,11 @@
 	file     *declaration.File
 }
 
-func (a *applying) run(ctx context.Context) state.Applied {
+func (a *applyOperation) run(ctx context.Context) state.Applied {
 	for {
-		all, err := a.begin(ctx)
+		all, err := a.fenceAndRead(ctx)
 		if err == nil {
-			next, refusal := a.judge(all)
+			next, refusal := a.prepareRecord(all)
 			if refusal != nil {
 				return *refusal
 			}
@@ -69,7 +69,7 @@
 			if err == nil {
 				return state.Applied{Version: next.Version, Outcome: state.Complete}
 			}
-			if ctx.Err() != nil || !triedAgain(err) {
+			if ctx.Err() != nil || !certainlyNotWritten(err) {
 				return state.Applied{Version: a.base, Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: err.Error()}
 			}
 		}
@@ -77,20 +77,20 @@
 		if ctx.Err() != nil {
 			return notApplied(a.base, state.ReasonStoreUnavailable, err.Error())
 		}
-		a.rest(ctx)
+		a.backOff(ctx)
 	}
 }
 
-// begin fences off concurrent writers and returns the declarations in force by
-// operator.
-func (a *applying) begin(ctx context.Context) (map[string]*inForce, error) {
+// fenceAndRead fences off concurrent writers and returns the declarations in force
+// by operator.
+func (a *applyOperation) fenceAndRead(ctx context.Context) (map[string]*declarationInForce, error) {
 	records, err := a.fence(ctx, declarationEpoch)
 	if err != nil {
 		return nil, err
 	}
-	out := make(map[string]*inForce, len(records))
+	out := make(map[string]*declarationInForce, len(records))
 	for _, r := range records {
-		f, err := parseRecord(r)
+		f, err := parseDeclarationRecord(r)
 		if err != nil {
 			// Don't replace a record that can't be read: its content would be lost.
 			return nil, err
@@ -101,17 +101,17 @@
 }
 
 func declarationEpoch(r store.Record) (int64, error) {
-	f, err := parseRecord(r)
+	f, err := parseDeclarationRecord(r)
 	if err != nil {
 		return 0, err
 	}
 	return f.Epoch, nil
 }
 
-// judge returns the record that replaces the operator's declaration, or the result
-// that ends the apply without a write: a refusal, or success if the declaration
-// is already in force.
-func (a *applying) judge(all map[string]*inForce) (*declared, *state.Applied) {
+// prepareRecord returns the record that replaces the operator's declaration, or the
+// result that ends the apply without a write: a refusal, or success if the
+// declaration is already in force.
+func (a *applyOperation) prepareRecord(all map[string]*declarationInForce) (*declarationRecord, *state.Applied) {
 	old := all[a.operator]
 	current := state.Version(0)
 	if old != nil {
@@ -138,14 +138,14 @@
 			}
 		}
 	}
-	next := a.next(old, a.base, a.raw, a.file, time.Now())
+	next := a.nextRecord(old, a.base, a.raw, a.file, time.Now())
 	next.Epoch = a.epoch
 	return &next, nil
 }
 
 // write appends the record to the store and puts it into force at this entry
 // immediately.
-func (a *applying) write(ctx context.Context, next *declared) error {
+func (a *applyOperation) write(ctx context.Context, next *declarationRecord) error {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return errors.Wrap(err, "encode declaration record")
@@ -156,5 +156,5 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.takeLocked(r)
+	return a.updateLocked(r)
 }
--- a/daemon/clients/clients.go
+++ b/daemon/clients/clients.go
@@ -46,52 +46,52 @@
 	*Declarations
 	// drains are the drains that operators set at this interface. It is nil if they
 	// are set elsewhere.
-	drains   *Drains
-	entry    Entry
-	name     string
-	software string
-	bookings *bookings
+	drains       *Drains
+	entry        Entry
+	name         string
+	software     string
+	reservations *quotaReservations
 }
 
 // New returns the HTTP interface of an entry. entries is the number of entries that
 // share the quotas. drains is nil if operators set drains elsewhere.
 func New(e Entry, d *Declarations, drains *Drains, name, software string, entries int) *Clients {
-	return &Clients{Declarations: d, drains: drains, entry: e, name: name, software: software, bookings: newBookings(entries)}
+	return &Clients{Declarations: d, drains: drains, entry: e, name: name, software: software, reservations: newQuotaReservations(entries)}
 }
 
-// askTimeout bounds a query or a cancellation, for which clients set no deadline.
-const askTimeout = 10 * time.Second
+// queryTimeout bounds a query or a cancellation, for which clients set no deadline.
+const queryTimeout = 10 * time.Second
 
 // Submit implements httpapi.Dispatcher.
 func (c *Clients) Submit(ctx context.Context, s httpapi.Submission) state.Answer {
 	key := s.Job.Key
 	file, spec, ok := c.service(key.Service)
 	if !ok {
-		return refused(key, state.ReasonUnknownService, 0)
+		return refusedAnswer(key, state.ReasonUnknownService, 0)
 	}
-	if c.tooLarge(&s.Job, spec) {
-		return refused(key, state.ReasonNeverRunnable, 0)
+	if c.exceedsAllServers(&s.Job, spec) {
+		return refusedAnswer(key, state.ReasonNeverRunnable, 0)
 	}
-	if wait, ok := c.book(ctx, &s.Job, file); !ok {
+	if wait, ok := c.reserveQuota(ctx, &s.Job, file); !ok {
 		// An earlier submission with the same ID may have been accepted.
-		a := refused(key, state.ReasonQuota, wait)
-		a.Outcome = c.known(ctx, key)
+		a := refusedAnswer(key, state.ReasonQuota, wait)
+		a.Outcome = c.refusalOutcome(ctx, key)
 		return a
 	}
-	defer c.bookings.release(key)
+	defer c.reservations.release(key)
 	deadline := s.Deadline
 	if deadline <= 0 {
 		deadline = spec.Deadline
 	}
 	ctx, cancel := context.WithTimeout(ctx, deadline)
 	defer cancel()
-	id, what, how := jobID(key), specOf(&s.Job, s.Digest, spec), policyOf(&s.Job, file, deadline)
-	v := c.entry.Submit(ctx, id, &what, &how)
+	id, jobSpec, policy := jobID(key), specOf(&s.Job, s.Digest, spec), policyOf(&s.Job, file, deadline)
+	v := c.entry.Submit(ctx, id, &jobSpec, &policy)
 	if v.Known {
-		c.bookings.refund(key)
+		c.reservations.refund(key)
 	}
 	if v.Outcome != owner.OK {
-		return failed(key, v)
+		return failureAnswer(key, v)
 	}
 	if s.Async && !v.State.Final() {
 		return state.Answer{Key: key, Outcome: state.Pending}
@@ -101,26 +101,26 @@
 	return a
 }
 
-// book takes a submission's tasks from its operator's quota. If the quota doesn't
-// allow them, it returns false and the time after which it may. A resubmission of a
-// known job uses no quota and is always accepted.
-func (c *Clients) book(ctx context.Context, j *state.Job, f *declaration.File) (time.Duration, bool) {
+// reserveQuota reserves the quota of a submission's operator for its tasks. If the
+// quota doesn't allow them, it returns false and the time after which it may. A
+// resubmission of a known job uses no quota and is always accepted.
+func (c *Clients) reserveQuota(ctx context.Context, j *state.Job, f *declaration.File) (time.Duration, bool) {
 	limits := quota.Limits{InFlight: f.Quota.TasksInFlight, PerSecond: f.Quota.TasksPerSecond}
-	wait, ok := c.bookings.take(bootclock.Now(), j.Key, f.Operator, limits, len(j.Tasks))
+	wait, ok := c.reservations.reserve(bootclock.Now(), j.Key, f.Operator, limits, len(j.Tasks))
 	if ok {
 		return 0, true
 	}
 	if v := c.entry.Lookup(ctx, jobID(j.Key)); v.Outcome == owner.OK {
-		c.bookings.join(j.Key)
+		c.reservations.join(j.Key)
 		return 0, true
 	}
 	return wait, false
 }
 
-// known returns the outcome of a refused submission: NotRun if the job's owner
+// refusalOutcome returns the outcome of a refused submission: NotRun if the job's owner
 // doesn't have the job, and Unknown if an earlier submission of it may have been
 // accepted.
-func (c *Clients) known(ctx context.Context, key state.JobKey) state.Outcome {
+func (c *Clients) refusalOutcome(ctx context.Context, key state.JobKey) state.Outcome {
 	if c.entry.Lookup(ctx, jobID(key)).Outcome == owner.Absent {
 		return state.NotRun
 	}
@@ -129,28 +129,28 @@
 
 // Query implements httpapi.Dispatcher.
 func (c *Clients) Query(ctx context.Context, key state.JobKey) state.Answer {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	return answerOf(key, c.entry.Lookup(ctx, jobID(key)))
 }
 
 // Cancel implements httpapi.Dispatcher.
 func (c *Clients) Cancel(ctx context.Context, key state.JobKey) state.Answer {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	return answerOf(key, c.entry.Cancel(ctx, jobID(key)))
 }
 
-// tooLarge reports whether one of the tasks exceeds the capacity of every known backend
-// server of the service, linked or not. It returns false while the entry knows no
-// backend server of the service.
-func (c *Clients) tooLarge(j *state.Job, s declaration.ServiceSpec) bool {
-	rooms := c.entry.Capacities(s.Name)
-	if len(rooms) == 0 {
+// exceedsAllServers reports whether one of the tasks exceeds the capacity of every
+// known backend server of the service, linked or not. It returns false while the
+// entry knows no backend server of the service.
+func (c *Clients) exceedsAllServers(j *state.Job, s declaration.ServiceSpec) bool {
+	capacities := c.entry.Capacities(s.Name)
+	if len(capacities) == 0 {
 		return false
 	}
 	return slices.ContainsFunc(j.Tasks, func(t state.Task) bool {
-		return !slices.ContainsFunc(rooms, demandOf(&t).Fits)
+		return !slices.ContainsFunc(capacities, demandOf(&t).Fits)
 	})
 }
 
--- a/daemon/clients/declarations.go
+++ b/daemon/clients/declarations.go
@@ -28,8 +28,8 @@
 // eight changes a day.
 const maxHistory = 16
 
-// declared is the stored record of an operator's declaration.
-type declared struct {
+// declarationRecord is the stored record of an operator's declaration.
+type declarationRecord struct {
 	Version state.Version `json:"version"`
 	File    string        `json:"file"`
 	// Owned maps each service that the operator has ever declared to its region. It
@@ -53,23 +53,23 @@
 	// All fields below are guarded by mu.
 
 	// operators maps operators to their declarations.
-	operators map[string]*inForce
+	operators map[string]*declarationInForce
 	// services maps services to their operators.
 	services map[string]string
-	// reads counts the records read from the store.
-	reads int64
+	// recordsRead counts the records read from the store.
+	recordsRead int64
 }
 
-// inForce is an operator's declaration in force. It is immutable.
-type inForce struct {
-	declared
+// declarationInForce is an operator's declaration in force. It is immutable.
+type declarationInForce struct {
+	declarationRecord
 	file *declaration.File
 }
 
 // NewDeclarations returns a Declarations that has read no records yet. name is the
 // name of the entry.
 func NewDeclarations(st store.Store, name string) *Declarations {
-	return &Declarations{store: st, name: name, operators: make(map[string]*inForce), services: make(map[string]string)}
+	return &Declarations{store: st, name: name, operators: make(map[string]*declarationInForce), services: make(map[string]string)}
 }
 
 // Decode puts a record that the entry has read into force. The returned table has no
@@ -77,15 +77,15 @@
 func (d *Declarations) Decode(r store.Record) (*routing.Table, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.takeLocked(r); err != nil {
+	if err := d.updateLocked(r); err != nil {
 		return nil, err
 	}
-	d.reads++
-	return &routing.Table{Version: d.reads}, nil
+	d.recordsRead++
+	return &routing.Table{Version: d.recordsRead}, nil
 }
 
-func (d *Declarations) takeLocked(r store.Record) error {
-	f, err := parseRecord(r)
+func (d *Declarations) updateLocked(r store.Record) error {
+	f, err := parseDeclarationRecord(r)
 	if err != nil {
 		return err
 	}
@@ -101,9 +101,9 @@
 	return nil
 }
 
-func parseRecord(r store.Record) (*inForce, error) {
-	f := &inForce{}
-	if err := json.Unmarshal(r.Value, &f.declared); err != nil {
+func parseDeclarationRecord(r store.Record) (*declarationInForce, error) {
+	f := &declarationInForce{}
+	if err := json.Unmarshal(r.Value, &f.declarationRecord); err != nil {
 		return nil, errors.Wrapf(err, "declaration of %s", r.Key)
 	}
 	var err error
@@ -182,14 +182,14 @@
 	if f == nil {
 		return nil, declaration.ServiceSpec{}, false
 	}
-	at := slices.IndexFunc(f.file.Services, func(s declaration.ServiceSpec) bool { return s.Name == name })
-	return f.file, f.file.Services[at], true
+	i := slices.IndexFunc(f.file.Services, func(s declaration.ServiceSpec) bool { return s.Name == name })
+	return f.file, f.file.Services[i], true
 }
 
-// next returns the record that replaces an operator's declaration old, which is nil
-// if there is none.
-func (d *Declarations) next(old *inForce, base state.Version, raw []byte, file *declaration.File, now time.Time) declared {
-	out := declared{Version: base + 1, File: string(raw), Owned: make(map[string]string)}
+// nextRecord returns the record that replaces an operator's declaration old, which
+// is nil if there is none.
+func (d *Declarations) nextRecord(old *declarationInForce, base state.Version, raw []byte, file *declaration.File, now time.Time) declarationRecord {
+	out := declarationRecord{Version: base + 1, File: string(raw), Owned: make(map[string]string)}
 	if old != nil {
 		maps.Copy(out.Owned, old.Owned)
 		out.History = slices.Clone(old.History)
--- a/daemon/clients/drains.go
+++ b/daemon/clients/drains.go
@@ -21,9 +21,9 @@
 // per failure domain that has ever been drained.
 var drainsPartition = store.Partition{Topic: "keyed.drains", Part: 0}
 
-// drainer is the name of the producer of all drains. Concurrent writers use the same name
-// with different epochs.
-const drainer = "drains"
+// drainProducer is the name of the producer of all drains. Concurrent writers use the same
+// name with different epochs.
+const drainProducer = "drains"
 
 // drainRecord is the stored record of a failure domain's drain. It is kept after the drain
 // has ended, for its history.
@@ -59,15 +59,15 @@
 
 // decode stores a record that the entry has read, and returns the change that it makes.
 func (d *Drains) decode(r store.Record) (drains.Change, bool, error) {
-	rec, err := parseDrain(r)
+	rec, err := parseDrainRecord(r)
 	if err != nil {
 		return drains.Change{}, false, err
 	}
-	d.take(r.Key, rec)
+	d.update(r.Key, rec)
 	return drains.Change{Domain: r.Key, Drained: rec.Drained}, true, nil
 }
 
-func parseDrain(r store.Record) (*drainRecord, error) {
+func parseDrainRecord(r store.Record) (*drainRecord, error) {
 	rec := &drainRecord{}
 	if err := json.Unmarshal(r.Value, rec); err != nil {
 		return nil, errors.Wrapf(err, "drain of %.80q", r.Key)
@@ -79,14 +79,14 @@
 }
 
 func drainEpoch(r store.Record) (int64, error) {
-	rec, err := parseDrain(r)
+	rec, err := parseDrainRecord(r)
 	if err != nil {
 		return 0, err
 	}
 	return rec.Epoch, nil
 }
 
-func (d *Drains) take(domain string, rec *drainRecord) {
+func (d *Drains) update(domain string, rec *drainRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if old := d.records[domain]; old == nil || old.Version < rec.Version {
@@ -110,24 +110,24 @@
 func (d *Drains) Set(ctx context.Context, domain string, drained bool) state.Applied {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	w := newFencedWriter(d.store, drainsPartition, drainer)
+	w := newFencedWriter(d.store, drainsPartition, drainProducer)
 	for {
-		out, err := d.setOnce(ctx, w, domain, drained)
+		out, err := d.trySet(ctx, w, domain, drained)
 		switch {
 		case err == nil:
 			klog.InfoS("Set the drain of a failure domain", "domain", domain, "drained", drained, "version", out.Version)
 			return out
-		case !triedAgain(err) && w.wrote:
+		case !certainlyNotWritten(err) && w.appendSent:
 			return state.Applied{Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: err.Error()}
 		case ctx.Err() != nil:
 			return notApplied(0, state.ReasonStoreUnavailable, err.Error())
 		}
 		klog.V(1).InfoS("Retrying to set the drain of a failure domain", "domain", domain, "epoch", w.epoch, "err", err)
-		w.rest(ctx)
+		w.backOff(ctx)
 	}
 }
 
-func (d *Drains) setOnce(ctx context.Context, w *fencedWriter, domain string, drained bool) (state.Applied, error) {
+func (d *Drains) trySet(ctx context.Context, w *fencedWriter, domain string, drained bool) (state.Applied, error) {
 	records, err := w.fence(ctx, drainEpoch)
 	if err != nil {
 		return state.Applied{}, err
@@ -137,7 +137,7 @@
 		if r.Key != domain {
 			continue
 		}
-		old, err := parseDrain(r)
+		old, err := parseDrainRecord(r)
 		if err != nil {
 			return state.Applied{}, err
 		}
@@ -159,6 +159,6 @@
 	if err := w.append(ctx, store.Record{Key: domain, Value: value}); err != nil {
 		return state.Applied{}, err
 	}
-	d.take(domain, &next)
+	d.update(domain, &next)
 	return state.Applied{Version: next.Version, Outcome: state.Complete}, nil
 }
--- a/daemon/clients/fenced.go
+++ b/daemon/clients/fenced.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// callTimeout bounds one call to the store. A slow store answers within it.
-	callTimeout = time.Second
+	// storeCallTimeout bounds one call to the store. A slow store answers within it.
+	storeCallTimeout = time.Second
 	// applyTimeout bounds an apply including its retries.
 	applyTimeout = 15 * time.Second
-	// applyPause is the mean delay before an apply that conflicted with another
+	// meanRetryDelay is the mean delay before an apply that conflicted with another
 	// writer is retried. An apply makes three calls of 5 ms each.
-	applyPause = 30 * time.Millisecond
+	meanRetryDelay = 30 * time.Millisecond
 )
 
 // fencedWriter replaces a record of one partition with a read-modify-write that is safe
@@ -33,11 +33,11 @@
 	// name is the name of the producer. It is the same for all writers of the
 	// partition.
 	name string
-	// epoch is the epoch to write under, and tries is how often it was raised.
-	epoch int64
-	tries int
-	// wrote is set once an append has been sent; its outcome may be unknown.
-	wrote bool
+	// epoch is the epoch to write under, and attempts is how often it was raised.
+	epoch    int64
+	attempts int
+	// appendSent is set once an append has been sent; its outcome may be unknown.
+	appendSent bool
 }
 
 func newFencedWriter(st store.Store, p store.Partition, name string) *fencedWriter {
@@ -47,25 +47,25 @@
 // fence raises the epoch, which fences off the writers in progress, and returns the newest
 // records. epochOf returns the epoch under which a record was written.
 func (w *fencedWriter) fence(ctx context.Context, epochOf func(store.Record) (int64, error)) ([]store.Record, error) {
-	call, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	if w.epoch == 0 {
-		if err := w.seeEpochs(call, epochOf); err != nil {
+		if err := w.readHighestEpoch(callCtx, epochOf); err != nil {
 			return nil, err
 		}
 	}
-	w.epoch = nextEpoch(w.epoch, w.tries)
-	w.tries++
-	if _, err := w.store.Append(call, w.partition, w.producer(0), nil); err != nil {
+	w.epoch = nextEpoch(w.epoch, w.attempts)
+	w.attempts++
+	if _, err := w.store.Append(callCtx, w.partition, w.producer(0), nil); err != nil {
 		return nil, err
 	}
-	records, _, err := w.store.Newest(call, w.partition)
+	records, _, err := w.store.Newest(callCtx, w.partition)
 	return records, err
 }
 
-// seeEpochs sets w.epoch to the highest epoch in the records. A writer that has appended no
-// record may have taken a higher one.
-func (w *fencedWriter) seeEpochs(ctx context.Context, epochOf func(store.Record) (int64, error)) error {
+// readHighestEpoch sets w.epoch to the highest epoch in the records. A writer that has
+// appended no record may have taken a higher one.
+func (w *fencedWriter) readHighestEpoch(ctx context.Context, epochOf func(store.Record) (int64, error)) error {
 	records, _, err := w.store.Newest(ctx, w.partition)
 	if err != nil {
 		return err
@@ -90,8 +90,8 @@
 // nextEpoch returns an epoch above the one seen. The distance doubles with each
 // attempt, because writers that have appended no record may have taken higher
 // epochs.
-func nextEpoch(seen int64, tries int) int64 {
-	round := seen>>writerBits + 1<<min(tries, 20)
+func nextEpoch(seen int64, attempts int) int64 {
+	round := seen>>writerBits + 1<<min(attempts, 20)
 	return round<<writerBits | rand.Int64N(1<<writerBits)
 }
 
@@ -99,25 +99,25 @@
 	return &store.Producer{Name: w.name, Epoch: w.epoch, Sequence: sequence}
 }
 
-// triedAgain reports whether an append was certainly not carried out, so that the writer can
-// start over.
-func triedAgain(err error) bool {
+// certainlyNotWritten reports whether an append was certainly not carried out, so that the
+// writer can start over.
+func certainlyNotWritten(err error) bool {
 	return errors.Is(err, store.ErrFenced) || errors.Is(err, store.ErrRejected)
 }
 
 // append retries one append until its outcome is known. The append is idempotent: the
 // store deduplicates retries by producer, epoch and sequence number.
 func (w *fencedWriter) append(ctx context.Context, r store.Record) error {
-	unknown := false
-	w.wrote = true
+	mayHaveWritten := false
+	w.appendSent = true
 	for {
-		call, cancel := context.WithTimeout(ctx, callTimeout)
-		_, err := w.store.Append(call, w.partition, w.producer(1), []store.Record{r})
+		callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
+		_, err := w.store.Append(callCtx, w.partition, w.producer(1), []store.Record{r})
 		cancel()
 		switch {
 		case err == nil:
 			return nil
-		case triedAgain(err) && !unknown:
+		case certainlyNotWritten(err) && !mayHaveWritten:
 			return err
 		case ctx.Err() != nil:
 			return errors.Wrap(err, "the outcome of the write is unknown")
@@ -125,12 +125,12 @@
 			// An earlier attempt may have succeeded before the writer was fenced.
 			return errors.New("the outcome of the write is unknown: fenced by another writer")
 		}
-		unknown = unknown || !errors.Is(err, store.ErrRejected)
-		_ = pause.For(ctx, applyPause)
+		mayHaveWritten = mayHaveWritten || !errors.Is(err, store.ErrRejected)
+		_ = pause.For(ctx, meanRetryDelay)
 	}
 }
 
-// rest waits for a random delay before the writer starts over.
-func (w *fencedWriter) rest(ctx context.Context) {
-	_ = pause.For(ctx, applyPause/2+rand.N(applyPause))
+// backOff waits for a random delay before the writer starts over.
+func (w *fencedWriter) backOff(ctx context.Context) {
+	_ = pause.For(ctx, meanRetryDelay/2+rand.N(meanRetryDelay))
 }
--- a/daemon/clients/bookings_test.go
+++ b/daemon/clients/reservations_test.go
@@ -22,20 +22,20 @@
 // job of 30 tasks must be refused until all sixteen are answered.
 func TestRepeatTakesNothingFromTheQuota(t *testing.T) {
 	is := is.New(t)
-	b := newBookings(1)
+	b := newQuotaReservations(1)
 	for range 16 {
-		_, ok := b.take(time.Hour, testKey, "team", testLimits, 30)
+		_, ok := b.reserve(time.Hour, testKey, "team", testLimits, 30)
 		is.True(ok)
 	}
-	_, ok := b.take(time.Hour, otherKey, "team", testLimits, 30)
+	_, ok := b.reserve(time.Hour, otherKey, "team", testLimits, 30)
 	is.True(!ok)
 	for range 15 {
 		b.release(testKey)
 	}
-	_, ok = b.take(time.Hour, otherKey, "team", testLimits, 30)
+	_, ok = b.reserve(time.Hour, otherKey, "team", testLimits, 30)
 	is.True(!ok) // one submission is still in progress
 	b.release(testKey)
-	_, ok = b.take(time.Hour+time.Second, otherKey, "team", testLimits, 30)
+	_, ok = b.reserve(time.Hour+time.Second, otherKey, "team", testLimits, 30)
 	is.True(ok)
 }
 
@@ -43,15 +43,15 @@
 // tasks in flight nor that of tasks per second.
 func TestKnownJobIsRefunded(t *testing.T) {
 	is := is.New(t)
-	b := newBookings(1)
-	_, ok := b.take(time.Hour, testKey, "team", testLimits, 40)
+	b := newQuotaReservations(1)
+	_, ok := b.reserve(time.Hour, testKey, "team", testLimits, 40)
 	is.True(ok)
 	b.refund(testKey)
-	_, ok = b.take(time.Hour, otherKey, "team", testLimits, 40)
+	_, ok = b.reserve(time.Hour, otherKey, "team", testLimits, 40)
 	is.True(ok)
 	b.release(testKey)
 	b.release(otherKey)
-	_, ok = b.take(time.Hour+2*time.Second, testKey, "team", testLimits, 40)
+	_, ok = b.reserve(time.Hour+2*time.Second, testKey, "team", testLimits, 40)
 	is.True(ok)
 }
 
@@ -59,13 +59,13 @@
 // not change the quota.
 func TestKnownJobJoinsAFullQuota(t *testing.T) {
 	is := is.New(t)
-	b := newBookings(1)
-	_, ok := b.take(time.Hour, otherKey, "team", testLimits, 40)
+	b := newQuotaReservations(1)
+	_, ok := b.reserve(time.Hour, otherKey, "team", testLimits, 40)
 	is.True(ok)
-	_, ok = b.take(time.Hour, testKey, "team", testLimits, 30)
+	_, ok = b.reserve(time.Hour, testKey, "team", testLimits, 30)
 	is.True(!ok)
 	b.join(testKey)
 	b.refund(testKey)
 	b.release(testKey)
-	is.Equal(len(b.held), 1)
+	is.Equal(len(b.byJob), 1)
 }
--- a/daemon/clients/submission.go
+++ b/daemon/clients/submission.go
@@ -12,22 +12,22 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// milli is the number of CPU millis in a core, and attempts is the maximum number of
-// starts of a repeatable task before its failure fails the job.
+// millisPerCore is the number of CPU millis in a core, and maxAttempts is the maximum
+// number of starts of a repeatable task before its failure fails the job.
 const (
-	milli    = 1000
-	attempts = 3
+	millisPerCore = 1000
+	maxAttempts   = 3
 )
 
-// maxName bounds the length of a job ID in bytes. Keys in the store have at most 255
-// bytes; the rest is for the suffix that identifies a task at a backend server.
-const maxName = 200
+// maxJobIDLength bounds the length of a job ID in bytes. Keys in the store have at most
+// 255 bytes; the rest is for the suffix that identifies a task at a backend server.
+const maxJobIDLength = 200
 
 // jobID returns the ID of a submission's job. Service names contain no slash, so two
 // keys never have the same ID. A name that is too long is replaced by its hash.
 func jobID(key state.JobKey) job.ID {
 	name := key.Service + "/" + key.ID
-	if len(name) > maxName {
+	if len(name) > maxJobIDLength {
 		sum := sha256.Sum256([]byte(name))
 		name = "/" + hex.EncodeToString(sum[:])
 	}
@@ -56,10 +56,10 @@
 }
 
 func demandOf(t *state.Task) job.Demand {
-	return job.Demand{CPUMillis: int64(math.Ceil(t.Cores * milli)), MemoryMB: t.MemoryMB, GPUs: t.Accelerators}
+	return job.Demand{CPUMillis: int64(math.Ceil(t.Cores * millisPerCore)), MemoryMB: t.MemoryMB, GPUs: t.Accelerators}
 }
 
-func cores(d job.Demand) float64 { return float64(d.CPUMillis) / milli }
+func cores(d job.Demand) float64 { return float64(d.CPUMillis) / millisPerCore }
 
 // policyOf returns the scheduling policy of a job. Its latency target is the time that
 // the caller waits, less the longest expected run time of its tasks.
@@ -70,12 +70,12 @@
 	}
 	p := job.Policy{
 		Queue: j.Key.Service, Service: j.Key.Service,
-		Priority: stepsBelowDefault(f.Priority),
+		Priority: queuePriority(f.Priority),
 		Slack:    1, Target: max(0, deadline-longest),
 		MaxAttempts: 1, Once: true,
 	}
 	if j.Repeatable {
-		p.MaxAttempts, p.Once = attempts, false
+		p.MaxAttempts, p.Once = maxAttempts, false
 	}
 	return p
 }
@@ -84,9 +84,9 @@
 // priority. A declaration's priority goes from 1 to 100; a queue has a few steps.
 const priorityStep = 25
 
-// stepsBelowDefault converts an operator's priority to a queue priority, where 0 is
+// queuePriority converts an operator's priority to a queue priority, where 0 is
 // served first. Every priority from the default up becomes 0, so that an operator who
 // declares none isn't placed behind one who declares a high one.
-func stepsBelowDefault(operator int) int {
+func queuePriority(operator int) int {
 	return max(0, declaration.DefaultPriority-operator+priorityStep-1) / priorityStep
 }
--- a/daemon/clients/submission_test.go
+++ b/daemon/clients/submission_test.go
@@ -13,8 +13,8 @@
 // first, and every job that can't start immediately would be refused.
 func TestOperatorsPriority(t *testing.T) {
 	is := is.New(t)
-	is.Equal(stepsBelowDefault(declaration.MaxPriority), 0)
-	is.Equal(stepsBelowDefault(declaration.DefaultPriority), 0)
-	is.Equal(stepsBelowDefault(declaration.DefaultPriority-1), 1)
-	is.Equal(stepsBelowDefault(1), 2)
+	is.Equal(queuePriority(declaration.MaxPriority), 0)
+	is.Equal(queuePriority(declaration.DefaultPriority), 0)
+	is.Equal(queuePriority(declaration.DefaultPriority-1), 1)
+	is.Equal(queuePriority(1), 2)
 }
