--- a/daemon/dev/agent.go
+++ b/daemon/dev/agent.go
@@ -19,24 +19,24 @@
 	settings *settings.Settings
 	drains   core.DrainSource
 	reports  net.Listener
-	// failed is called with the error that stops the agent or its report server.
-	failed func(error)
+	// onFailure is called with the error that stops the agent or its report server.
+	onFailure func(error)
 
 	mu sync.Mutex
 	// agent is nil while the agent is down. Guarded by mu, as are the fields below.
 	agent  *agent.Agent
 	cancel context.CancelFunc
-	ended  chan struct{}
+	done   chan struct{}
 }
 
 // NewAgent returns an agent that is down. It serves the reports of its backend
 // server on the listener, with status 503 while the agent is down.
-func NewAgent(s *settings.Settings, drains core.DrainSource, reports net.Listener, failed func(error)) *Agent {
-	a := &Agent{settings: s, drains: drains, reports: reports, failed: failed}
-	srv := &http.Server{Handler: http.HandlerFunc(a.report), ReadHeaderTimeout: closeLimit}
+func NewAgent(s *settings.Settings, drains core.DrainSource, reports net.Listener, onFailure func(error)) *Agent {
+	a := &Agent{settings: s, drains: drains, reports: reports, onFailure: onFailure}
+	srv := &http.Server{Handler: http.HandlerFunc(a.handleReport), ReadHeaderTimeout: reportHeaderTimeout}
 	go func() {
 		if err := srv.Serve(reports); !errors.Is(err, net.ErrClosed) {
-			failed(err)
+			onFailure(err)
 		}
 	}()
 	return a
@@ -45,7 +45,7 @@
 // ReportsAddr returns the address for the reports of the agent's backend server.
 func (a *Agent) ReportsAddr() net.Addr { return a.reports.Addr() }
 
-func (a *Agent) report(w http.ResponseWriter, r *http.Request) {
+func (a *Agent) handleReport(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
 	agent := a.agent
 	a.mu.Unlock()
@@ -62,14 +62,14 @@
 		return platform.NewExecutor(a.settings.Server.Address, fence)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	a.mu.Lock()
-	a.agent, a.cancel, a.ended = running, cancel, ended
+	a.agent, a.cancel, a.done = running, cancel, done
 	a.mu.Unlock()
 	go func() {
-		defer close(ended)
+		defer close(done)
 		if err := running.Run(ctx); err != nil {
-			a.failed(err)
+			a.onFailure(err)
 		}
 	}()
 }
@@ -77,11 +77,11 @@
 // Kill stops the agent without draining it. Its backend server keeps running.
 func (a *Agent) Kill() {
 	a.mu.Lock()
-	cancel, ended := a.cancel, a.ended
+	cancel, done := a.cancel, a.done
 	a.agent = nil
 	a.mu.Unlock()
 	cancel()
-	<-ended
+	<-done
 }
 
 // Drain hands over the agent's shards and returns when its runs have ended, or when
--- a/daemon/dev/dev.go
+++ b/daemon/dev/dev.go
@@ -28,12 +28,13 @@
 
 // Size of the deployment. The backend servers have the size that users run.
 const (
-	cores    = 8
-	memoryMB = 64 << 10
-	// readyEvery is the interval at which Start checks whether the system is ready.
-	readyEvery = 10 * time.Millisecond
-	// closeLimit bounds the reading of a report's header.
-	closeLimit = 2 * time.Second
+	coresPerServer    = 8
+	memoryMBPerServer = 64 << 10
+	// readyPollInterval is the interval at which Start checks whether the system is
+	// ready.
+	readyPollInterval = 10 * time.Millisecond
+	// reportHeaderTimeout bounds the reading of a report's header.
+	reportHeaderTimeout = 2 * time.Second
 	// writesPerSecond is far above the write rate of one process.
 	writesPerSecond = 10_000
 	// partitions is the number of shards. There are more shards than agents, so each
@@ -43,9 +44,9 @@
 
 var domains = []string{"jeonju", "iksan", "gunsan"}
 
-// Cores is the number of cores of the whole system. The ideal run time of a job
+// TotalCores is the number of cores of the whole system. The ideal run time of a job
 // spreads its work evenly over them.
-var Cores = cores * len(domains)
+var TotalCores = coresPerServer * len(domains)
 
 // Options configures a System.
 type Options struct {
@@ -69,18 +70,18 @@
 // entry accepts submissions and all agents are available, or when ctx ends.
 func Start(ctx context.Context, o Options) (*System, error) {
 	s := &System{opts: o, store: standin.NewStore(), ledger: standin.NewLedger()}
-	if err := s.start(); err != nil {
+	if err := s.startAll(); err != nil {
 		s.Kill()
 		return nil, err
 	}
-	if err := s.prepare(ctx); err != nil {
+	if err := s.applyAndAwaitReady(ctx); err != nil {
 		s.Kill()
 		return nil, err
 	}
 	return s, nil
 }
 
-func (s *System) start() error {
+func (s *System) startAll() error {
 	for _, domain := range domains {
 		if err := s.startWorker(domain); err != nil {
 			return errors.Wrapf(err, "agent in %s", domain)
@@ -109,7 +110,7 @@
 
 // startWorker starts a backend server and its agent in a failure domain.
 func (s *System) startWorker(domain string) error {
-	server := standin.Server{Instance: "server-" + domain, Service: service(), Labels: []string{}, CPUMillis: cores * 1000, MemoryMB: memoryMB}
+	server := standin.Server{Instance: "server-" + domain, Service: exampleService(), Labels: []string{}, CPUMillis: coresPerServer * 1000, MemoryMB: memoryMBPerServer}
 	executor, err := standin.NewExecutor(server, s.ledger)
 	if err != nil {
 		return err
@@ -140,8 +141,8 @@
 	return nil
 }
 
-// service returns the name of the service in the example declaration.
-func service() string {
+// exampleService returns the name of the service in the example declaration.
+func exampleService() string {
 	f, err := declaration.Parse("declaration.json", examples.HaneulDeclaration)
 	if err != nil {
 		panic(fmt.Sprintf("invalid embedded declaration: %v", err))
@@ -149,8 +150,9 @@
 	return f.Services[0].Name
 }
 
-// prepare applies the example declaration and waits until the system is serving.
-func (s *System) prepare(ctx context.Context) error {
+// applyAndAwaitReady applies the example declaration and waits until the system is
+// ready or ctx ends.
+func (s *System) applyAndAwaitReady(ctx context.Context) error {
 	c, err := httpclient.New(httpclient.Options{Addr: s.Addr()})
 	if err != nil {
 		return err
@@ -161,19 +163,19 @@
 			_, f := c.Apply(ctx, examples.HaneulOperator, 0, examples.HaneulDeclaration)
 			applied = f == nil
 		}
-		if applied && s.serving() {
+		if applied && s.ready() {
 			return nil
 		}
-		_ = pause.For(ctx, readyEvery)
+		_ = pause.For(ctx, readyPollInterval)
 	}
 	return errors.Wrap(ctx.Err(), "the system did not become ready")
 }
 
-// serving reports whether all agents are available to every entry and the shards are
+// ready reports whether all agents are available to every entry and the shards are
 // assigned to them.
-func (s *System) serving() bool {
+func (s *System) ready() bool {
 	for _, e := range s.entries {
-		if !e.knows(len(domains)) {
+		if !e.hasAvailableAgents(len(domains)) {
 			return false
 		}
 	}
--- a/daemon/dev/drain_test.go
+++ b/daemon/dev/drain_test.go
@@ -10,7 +10,7 @@
 )
 
 // awaitDrained waits until exactly these failure domains are drained at the first entry.
-func (d *desk) awaitDrained(domains ...string) {
+func (d *testSystem) awaitDrained(domains ...string) {
 	d.t.Helper()
 	d.await("the drains are in force", func() bool {
 		s, f := d.client.Status(d.ctx())
@@ -22,7 +22,7 @@
 // project's own interface, and against a drain that can't be ended or that is missing from
 // the history.
 func TestDrainByCommand(t *testing.T) {
-	d := newDesk(t)
+	d := newTestSystem(t)
 	set, f := d.client.SetDrain(d.ctx(), "iksan", true)
 	d.is.True(f == nil)
 	d.is.Equal(set.Version, state.Version(1))
@@ -55,7 +55,7 @@
 // Guards against accepting a drain of a misspelt failure domain, and against refusing to end
 // a drain that isn't in force.
 func TestDrainOfAnUnknownDomain(t *testing.T) {
-	d := newDesk(t)
+	d := newTestSystem(t)
 	_, f := d.client.SetDrain(d.ctx(), "iksann", true)
 	d.is.Equal(f.Problem.Reason, state.ReasonUnknownDomain)
 	d.is.Equal(f.Outcome, state.NotRun)
@@ -66,7 +66,7 @@
 
 // Guards against concurrent drains by two operators, of which one overwrites the other.
 func TestRaceOfDrains(t *testing.T) {
-	d := newDesk(t)
+	d := newTestSystem(t)
 	var wg sync.WaitGroup
 	for _, domain := range []string{"iksan", "gunsan"} {
 		wg.Go(func() {
@@ -82,7 +82,7 @@
 // Guards against reporting the outcome of a drain as complete while the store's responses
 // are lost, and against a later retry that fails.
 func TestDrainWithoutTheStore(t *testing.T) {
-	d := newDesk(t)
+	d := newTestSystem(t)
 	d.Store().Fail("entry", standin.Lost)
 	done := make(chan struct{})
 	go func() {
--- a/daemon/dev/entry.go
+++ b/daemon/dev/entry.go
@@ -53,9 +53,9 @@
 	e.done.Wait()
 }
 
-// knows reports whether the entry is ready and exactly the given number of agents
-// accept work and have free cores.
-func (e *Entry) knows(agents int) bool {
+// hasAvailableAgents reports whether the entry is ready and exactly the given number
+// of agents accept work and have free cores.
+func (e *Entry) hasAvailableAgents(agents int) bool {
 	doc := e.clients.Status()
 	n := 0
 	for _, a := range doc.Agents {
--- a/daemon/dev/system_test.go
+++ b/daemon/dev/system_test.go
@@ -17,32 +17,32 @@
 	"github.com/shallotstep/shallotstep/transport/httpclient"
 )
 
-// patience bounds every wait. The tests don't check how long anything takes.
-const patience = 60 * time.Second
+// waitTimeout bounds every wait. The tests don't check how long anything takes.
+const waitTimeout = 60 * time.Second
 
-// desk is a whole system under test with a client of its first entry.
-type desk struct {
+// testSystem is a whole system under test with a client of its first entry.
+type testSystem struct {
 	t  *testing.T
 	is *is.I
 	*System
 	client *httpclient.Client
 }
 
-func newDesk(t *testing.T) *desk {
+func newTestSystem(t *testing.T) *testSystem {
 	t.Helper()
 	l, err := loopback()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	s, err := Start(ctx, Options{HTTP: l, Software: "test"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Kill)
-	d := &desk{t: t, is: is.New(t), System: s}
-	d.client = d.clientOf(s.Addr())
+	d := &testSystem{t: t, is: is.New(t), System: s}
+	d.client = d.newClient(s.Addr())
 	// An owner that has just taken over a shard knows no agents yet and refuses
 	// jobs. Submit requests whose ids cover every shard until all are served.
 	for i := range 16 {
@@ -54,7 +54,7 @@
 	return d
 }
 
-func (d *desk) clientOf(addr string) *httpclient.Client {
+func (d *testSystem) newClient(addr string) *httpclient.Client {
 	c, err := httpclient.New(httpclient.Options{Addr: addr})
 	d.is.NoErr(err)
 	return c
@@ -62,11 +62,11 @@
 
 // job returns a job with the given number of tasks, which run for ms milliseconds
 // each and return their index. more is appended to the fields of each payload.
-func (d *desk) job(id string, tasks, ms int, more string) api.Submission {
+func (d *testSystem) job(id string, tasks, ms int, extraFields string) api.Submission {
 	d.t.Helper()
 	var list []string
 	for i := range tasks {
-		list = append(list, fmt.Sprintf(`{"payload":{"work_ms":%d,"echo":%d%s},"expected_ms":%d,"cores":1,"memory_mb":64}`, ms, i, more, max(ms, 1)))
+		list = append(list, fmt.Sprintf(`{"payload":{"work_ms":%d,"echo":%d%s},"expected_ms":%d,"cores":1,"memory_mb":64}`, ms, i, extraFields, max(ms, 1)))
 	}
 	body := fmt.Sprintf(`{"service":"bench-desk","kind":"job","id":%q,"deadline_ms":60000,"tasks":[%s]}`, id, strings.Join(list, ","))
 	return d.decode(body)
@@ -74,13 +74,13 @@
 
 // request returns a request that runs for ms milliseconds and returns "done". more
 // is appended to the fields of its payload.
-func (d *desk) request(id string, ms int, repeatable bool, more string) api.Submission {
+func (d *testSystem) request(id string, ms int, repeatable bool, extraFields string) api.Submission {
 	d.t.Helper()
 	return d.decode(fmt.Sprintf(`{"service":"bench-desk","kind":"request","id":%q,"deadline_ms":60000,"repeatable":%v,
-		"task":{"payload":{"work_ms":%d,"echo":"done"%s},"expected_ms":%d,"cores":1,"memory_mb":64}}`, id, repeatable, ms, more, max(ms, 1)))
+		"task":{"payload":{"work_ms":%d,"echo":"done"%s},"expected_ms":%d,"cores":1,"memory_mb":64}}`, id, repeatable, ms, extraFields, max(ms, 1)))
 }
 
-func (d *desk) decode(body string) api.Submission {
+func (d *testSystem) decode(body string) api.Submission {
 	d.t.Helper()
 	s, p := api.DecodeFile("", []byte(body))
 	if p != nil {
@@ -89,8 +89,8 @@
 	return s
 }
 
-func (d *desk) ctx() context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (d *testSystem) ctx() context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	d.t.Cleanup(cancel)
 	return ctx
 }
@@ -101,8 +101,8 @@
 	failure *httpclient.Failure
 }
 
-// later submits in the background and returns a channel that receives the result.
-func (d *desk) later(c *httpclient.Client, s api.Submission) <-chan result {
+// submitAsync submits in the background and returns a channel that receives the result.
+func (d *testSystem) submitAsync(c *httpclient.Client, s api.Submission) <-chan result {
 	out := make(chan result, 1)
 	go func() {
 		a, f := c.Submit(d.ctx(), s)
@@ -111,8 +111,8 @@
 	return out
 }
 
-// complete checks that the result is complete, with each task's index as its result.
-func (d *desk) complete(r result, tasks int) {
+// checkComplete checks that the result is complete, with each task's index as its result.
+func (d *testSystem) checkComplete(r result, tasks int) {
 	d.t.Helper()
 	if r.failure != nil {
 		d.t.Fatal(r.failure)
@@ -123,9 +123,9 @@
 	}
 }
 
-// once checks that the given number of a job's tasks were started exactly once each,
-// and that the ledger has recorded no faults.
-func (d *desk) once(id string, tasks int) {
+// checkStartedOnce checks that the given number of a job's tasks were started exactly
+// once each, and that the ledger has recorded no faults.
+func (d *testSystem) checkStartedOnce(id string, tasks int) {
 	d.t.Helper()
 	started := d.Ledger().Tasks("bench-desk/" + id + ".")
 	d.is.Equal(len(started), tasks)
@@ -139,27 +139,27 @@
 	}
 }
 
-func (d *desk) await(what string, ok func() bool) {
+func (d *testSystem) await(what string, ok func() bool) {
 	d.t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			d.t.Fatalf("not in %v: %s", patience, what)
+			d.t.Fatalf("not in %v: %s", waitTimeout, what)
 		}
 	}
 }
 
-func (d *desk) awaitStarts(id string, tasks int) {
+func (d *testSystem) awaitStarts(id string, tasks int) {
 	d.t.Helper()
 	d.await(id+" runs", func() bool { return len(d.Ledger().Tasks("bench-desk/"+id+".")) == tasks })
 }
 
-func (d *desk) secondEntry() *Entry {
+func (d *testSystem) startSecondEntry() *Entry {
 	d.t.Helper()
 	l, err := loopback()
 	d.is.NoErr(err)
 	e, err := d.StartEntry("entry-2", l)
 	d.is.NoErr(err)
-	d.await("the second entry serves", d.serving)
+	d.await("the second entry is ready", d.ready)
 	return e
 }
 
@@ -167,27 +167,27 @@
 // Every submission must get the complete answer, and each task must run once. A
 // different job under the same id must be refused and must not run.
 func TestResubmissionsJoin(t *testing.T) {
-	d := newDesk(t)
-	other := d.clientOf(d.secondEntry().Addr())
+	d := newTestSystem(t)
+	other := d.newClient(d.startSecondEntry().Addr())
 	s := d.job("join", 30, 300, "")
-	first := d.later(d.client, s)
+	first := d.submitAsync(d.client, s)
 	d.awaitStarts("join", 30)
-	second := d.later(other, s)
-	d.complete(<-first, 30)
-	d.complete(<-second, 30)
-	d.complete(<-d.later(other, s), 30)
-	d.once("join", 30)
-	r := <-d.later(other, d.job("join", 2, 1, ""))
+	second := d.submitAsync(other, s)
+	d.checkComplete(<-first, 30)
+	d.checkComplete(<-second, 30)
+	d.checkComplete(<-d.submitAsync(other, s), 30)
+	d.checkStartedOnce("join", 30)
+	r := <-d.submitAsync(other, d.job("join", 2, 1, ""))
 	d.is.Equal(r.failure.Problem.Reason, state.ReasonIDConflict)
 	d.is.Equal(r.failure.Outcome, state.NotRun)
-	d.once("join", 30)
+	d.checkStartedOnce("join", 30)
 }
 
 // A job is submitted without waiting and queried until its results are available. A
 // query for an unknown id must answer unknown and not "not run", because a submission
 // may still be in flight.
-func TestAcceptedNowAskedLater(t *testing.T) {
-	d := newDesk(t)
+func TestAcceptThenQuery(t *testing.T) {
+	d := newTestSystem(t)
 	a, f := d.client.Accept(d.ctx(), d.job("later", 3, 400, ""))
 	d.is.True(f == nil)
 	d.is.Equal(state.Outcome(a.Outcome), state.Pending)
@@ -199,7 +199,7 @@
 		a, f = d.client.Query(d.ctx(), key)
 		return f == nil && state.Outcome(a.Outcome) == state.Complete
 	})
-	d.complete(result{a, f}, 3)
+	d.checkComplete(result{a, f}, 3)
 	_, f = d.client.Query(d.ctx(), state.JobKey{Service: "bench-desk", ID: "nobody"})
 	d.is.Equal(f.Problem.Reason, state.ReasonUnknownJob)
 	d.is.Equal(f.Outcome, state.Unknown)
@@ -208,8 +208,8 @@
 // Guards against losing an accepted job when all agents are killed and restarted. A
 // repeatable request must complete. The tasks of a job that isn't repeatable must not
 // start twice.
-func TestAcceptedJobOutlivesAllAgents(t *testing.T) {
-	d := newDesk(t)
+func TestAcceptedJobSurvivesAgentRestarts(t *testing.T) {
+	d := newTestSystem(t)
 	again := d.request("again", 700, true, "")
 	for _, s := range []api.Submission{d.job("power", 6, 700, ""), again} {
 		_, f := d.client.Accept(d.ctx(), s)
@@ -225,20 +225,20 @@
 	d.is.True(f == nil) // complete, although a run may have been cut off
 	d.is.Equal(string(a.Results[0]), `"done"`)
 	a, f = d.client.SubmitSettled(d.ctx(), d.job("power", 6, 700, ""), 100)
-	d.completeOrCutOff(result{a, f}, "power", 6)
+	d.checkCompleteOrCutOff(result{a, f}, "power", 6)
 }
 
-// completeOrCutOff checks the result of a job that isn't repeatable after its agents
+// checkCompleteOrCutOff checks the result of a job that isn't repeatable after its agents
 // were lost: it is complete, or has failed because a task was cut off, and no task
 // was started twice.
-func (d *desk) completeOrCutOff(r result, id string, tasks int) {
+func (d *testSystem) checkCompleteOrCutOff(r result, id string, tasks int) {
 	d.t.Helper()
 	if r.failure == nil {
-		d.complete(r, tasks)
+		d.checkComplete(r, tasks)
 	} else {
 		d.is.Equal(r.failure.Problem.Reason, state.ReasonCutOff)
 	}
-	d.once(id, len(d.Ledger().Tasks("bench-desk/"+id+".")))
+	d.checkStartedOnce(id, len(d.Ledger().Tasks("bench-desk/"+id+".")))
 }
 
 // One agent and the entry at which the caller waits are killed while a job runs. The
@@ -247,11 +247,11 @@
 // a task was cut off with its agent. No task may run twice.
 func TestOwnerAndEntryKilled(t *testing.T) {
 	for i := range domains {
-		d := newDesk(t)
-		second := d.secondEntry()
-		other := d.clientOf(second.Addr())
+		d := newTestSystem(t)
+		second := d.startSecondEntry()
+		other := d.newClient(second.Addr())
 		s := d.job("owner", 8, 900, "")
-		waiting := d.later(other, s)
+		waiting := d.submitAsync(other, s)
 		d.awaitStarts("owner", 8)
 		d.Agents()[i].Kill()
 		second.Kill()
@@ -259,14 +259,14 @@
 		d.is.Equal(r.failure.Outcome, state.Unknown) // the entry was killed
 		d.Agents()[i].Start()
 		a, f := d.client.SubmitSettled(d.ctx(), s, 100)
-		d.completeOrCutOff(result{a, f}, "owner", 8)
+		d.checkCompleteOrCutOff(result{a, f}, "owner", 8)
 	}
 }
 
 // A caller disconnects while its job runs. The job must keep running, and a later
 // submission must get its answer.
-func TestCallerGoesAway(t *testing.T) {
-	d := newDesk(t)
+func TestCallerDisconnects(t *testing.T) {
+	d := newTestSystem(t)
 	s := d.job("gone", 4, 500, "")
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -274,15 +274,15 @@
 	}()
 	d.awaitStarts("gone", 4)
 	cancel()
-	d.complete(<-d.later(d.client, s), 4)
-	d.once("gone", 4)
+	d.checkComplete(<-d.submitAsync(d.client, s), 4)
+	d.checkStartedOnce("gone", 4)
 }
 
 // A running job is cancelled. The cancellation must be answered as done, the caller that
 // waits must be told, and no further task of the job may start.
 func TestCancel(t *testing.T) {
-	d := newDesk(t)
-	waiting := d.later(d.client, d.job("stop", 60, 3000, ""))
+	d := newTestSystem(t)
+	waiting := d.submitAsync(d.client, d.job("stop", 60, 3000, ""))
 	d.await("it runs", func() bool { return len(d.Ledger().Tasks("bench-desk/stop.")) > 0 })
 	key := state.JobKey{Service: "bench-desk", ID: "stop"}
 	a, f := d.client.Cancel(d.ctx(), key)
@@ -291,7 +291,7 @@
 	r := <-waiting
 	d.is.Equal(r.failure.Problem.Reason, state.ReasonCancelled)
 	d.is.Equal(r.failure.Outcome, state.Failed)
-	d.complete(<-d.later(d.client, d.job("after", 24, 1, "")), 24)
+	d.checkComplete(<-d.submitAsync(d.client, d.job("after", 24, 1, "")), 24)
 	started := len(d.Ledger().Tasks("bench-desk/stop."))
 	d.is.True(started < 60) // queued tasks never ran
 }
@@ -299,12 +299,12 @@
 // A task fails. A repeatable one must be started three times before its job fails; one
 // that isn't repeatable must be started only once.
 func TestFailures(t *testing.T) {
-	d := newDesk(t)
-	r := <-d.later(d.client, d.request("once", 10, false, `,"fail":true`))
+	d := newTestSystem(t)
+	r := <-d.submitAsync(d.client, d.request("once", 10, false, `,"fail":true`))
 	d.is.Equal(r.failure.Problem.Reason, state.ReasonTaskFailed)
 	d.is.Equal(r.failure.Outcome, state.Failed)
-	d.once("once", 1)
-	r = <-d.later(d.client, d.request("thrice", 10, true, `,"fail":true`))
+	d.checkStartedOnce("once", 1)
+	r = <-d.submitAsync(d.client, d.request("thrice", 10, true, `,"fail":true`))
 	d.is.Equal(r.failure.Problem.Reason, state.ReasonTaskFailed)
 	d.is.Equal(d.Ledger().Started("bench-desk/thrice"), 3)
 }
@@ -313,17 +313,17 @@
 // because the lost tasks may have run. A repeatable request submitted afterwards must run
 // at another backend server.
 func TestBackendServerLost(t *testing.T) {
-	d := newDesk(t)
+	d := newTestSystem(t)
 	lost := d.Executors()[0]
 	before := lost.Starts()
-	may := d.later(d.client, d.job("never", 24, 2500, ""))
+	waiting := d.submitAsync(d.client, d.job("never", 24, 2500, ""))
 	d.await("the backend server has work", func() bool { return lost.Starts() > before })
 	lost.Close()
-	r := <-may
+	r := <-waiting
 	d.is.Equal(r.failure.Problem.Reason, state.ReasonCutOff)
 	d.is.Equal(r.failure.Outcome, state.Failed)
-	d.once("never", len(d.Ledger().Tasks("bench-desk/never.")))
-	r = <-d.later(d.client, d.request("elsewhere", 50, true, ""))
+	d.checkStartedOnce("never", len(d.Ledger().Tasks("bench-desk/never.")))
+	r = <-d.submitAsync(d.client, d.request("elsewhere", 50, true, ""))
 	d.is.True(r.failure == nil)
 }
 
@@ -331,19 +331,19 @@
 // so it must be refused as not run and must not run. It must be accepted once the store
 // is available again.
 func TestStoreOutOfService(t *testing.T) {
-	d := newDesk(t)
-	running := d.later(d.client, d.job("runs", 4, 800, ""))
+	d := newTestSystem(t)
+	running := d.submitAsync(d.client, d.job("runs", 4, 800, ""))
 	d.awaitStarts("runs", 4)
 	d.Store().Fail("", standin.Busy)
 	var r result
 	d.await("new jobs are refused", func() bool {
-		r = <-d.later(d.client, d.request("refused", 1, true, ""))
+		r = <-d.submitAsync(d.client, d.request("refused", 1, true, ""))
 		return r.failure != nil && r.failure.Problem != nil && r.failure.Problem.Reason == state.ReasonStoreUnavailable
 	})
 	d.is.Equal(r.failure.Outcome, state.NotRun)
 	d.is.Equal(d.Ledger().Started("bench-desk/refused"), 0)
 	d.Store().Fail("", standin.None)
-	d.complete(<-running, 4)
+	d.checkComplete(<-running, 4)
 	a, f := d.client.SubmitSettled(d.ctx(), d.request("refused", 1, true, ""), 100)
 	d.is.True(f == nil)
 	d.is.Equal(string(a.Results[0]), `"done"`)
@@ -352,34 +352,34 @@
 // A task that is larger than every backend server and a job over the quota must be
 // refused with the reason before anything starts.
 func TestRefusals(t *testing.T) {
-	d := newDesk(t)
+	d := newTestSystem(t)
 	big := d.decode(`{"service":"bench-desk","kind":"request","id":"big","task":{"payload":1,"memory_mb":900000}}`)
-	r := <-d.later(d.client, big)
+	r := <-d.submitAsync(d.client, big)
 	d.is.Equal(r.failure.Problem.Reason, state.ReasonNeverRunnable)
 	// The job takes the quota of a hundred seconds. Later jobs are refused for that
 	// long, or until the operator has a larger quota.
-	_, f := d.client.Apply(d.ctx(), "haneul", 1, quotaOf(1))
+	_, f := d.client.Apply(d.ctx(), "haneul", 1, declarationWithQuota(1))
 	d.is.True(f == nil)
-	d.complete(<-d.later(d.client, d.job("all", 100, 1, "")), 100)
-	r = <-d.later(d.client, d.job("more", 1, 1, ""))
+	d.checkComplete(<-d.submitAsync(d.client, d.job("all", 100, 1, "")), 100)
+	r = <-d.submitAsync(d.client, d.job("more", 1, 1, ""))
 	d.is.Equal(r.failure.Problem.Reason, state.ReasonQuota)
 	d.is.Equal(r.failure.Outcome, state.NotRun)
 	d.is.True(r.failure.RetryAfter() > 0)
-	_, f = d.client.Apply(d.ctx(), "haneul", 2, quotaOf(1000))
+	_, f = d.client.Apply(d.ctx(), "haneul", 2, declarationWithQuota(1000))
 	d.is.True(f == nil)
 	a, f := d.client.SubmitSettled(d.ctx(), d.job("more", 1, 1, ""), 5) // retries after the time in the refusal
-	d.complete(result{a, f}, 1)
+	d.checkComplete(result{a, f}, 1)
 }
 
-// quotaOf returns a declaration of operator haneul with a quota of perSecond tasks per
-// second.
-func quotaOf(perSecond int) []byte {
+// declarationWithQuota returns a declaration of operator haneul with a quota of
+// perSecond tasks per second.
+func declarationWithQuota(perSecond int) []byte {
 	return fmt.Appendf(nil, `{"operator":"haneul","quota":{"tasks_in_flight":1000,"tasks_per_second":%d},
 		"services":[{"name":"bench-desk","region":"jeonbuk","deadline_ms":20000}]}`, perSecond)
 }
 
-// declarationOf returns a declaration of operator haneul with the given priority.
-func declarationOf(priority int) []byte {
+// declarationWithPriority returns a declaration of operator haneul with the given priority.
+func declarationWithPriority(priority int) []byte {
 	b, err := json.Marshal(map[string]any{
 		"operator": "haneul", "priority": priority,
 		"quota": map[string]int{"tasks_in_flight": 10, "tasks_per_second": 10},
@@ -397,14 +397,14 @@
 // Two operators concurrently replace the same version at two entries. In each round
 // exactly one must succeed, and its file must be in force at both entries.
 func TestRaceOfOperators(t *testing.T) {
-	d := newDesk(t)
-	e := d.secondEntry()
-	clients := []*httpclient.Client{d.client, d.clientOf(e.Addr())}
+	d := newTestSystem(t)
+	e := d.startSecondEntry()
+	clients := []*httpclient.Client{d.client, d.newClient(e.Addr())}
 	for base := state.Version(1); base < 6; base++ {
 		won := make(chan int, len(clients))
 		for i, c := range clients {
 			go func() {
-				_, f := c.Apply(d.ctx(), "haneul", base, declarationOf(int(base)*2+i+1))
+				_, f := c.Apply(d.ctx(), "haneul", base, declarationWithPriority(int(base)*2+i+1))
 				switch {
 				case f == nil:
 					won <- i
@@ -435,18 +435,18 @@
 // The store carries out an apply while its responses are lost. The apply must take effect
 // exactly once, and a retry against the same base must succeed without a new version.
 func TestLostAnswersToAnApply(t *testing.T) {
-	d := newDesk(t)
+	d := newTestSystem(t)
 	d.Store().Fail("entry", standin.Lost)
 	go func() {
 		time.Sleep(300 * time.Millisecond)
 		d.Store().Fail("entry", standin.None)
 	}()
-	_, f := d.client.ApplySettled(d.ctx(), "haneul", 1, declarationOf(7))
+	_, f := d.client.ApplySettled(d.ctx(), "haneul", 1, declarationWithPriority(7))
 	if f != nil && f.Outcome == state.NotRun && f.Problem.Reason != state.ReasonLostRace {
-		_, f = d.client.ApplySettled(d.ctx(), "haneul", 1, declarationOf(7)) // the first apply was not carried out
+		_, f = d.client.ApplySettled(d.ctx(), "haneul", 1, declarationWithPriority(7)) // the first apply was not carried out
 	}
 	d.is.True(f == nil)
-	again, f := d.client.Apply(d.ctx(), "haneul", 1, declarationOf(7))
+	again, f := d.client.Apply(d.ctx(), "haneul", 1, declarationWithPriority(7))
 	d.is.True(f == nil)
 	d.is.Equal(again.Version, state.Version(2))
 	h, f := d.client.History(d.ctx(), "haneul")
@@ -458,7 +458,7 @@
 // no longer names it. Jobs are identified by service and id, so another operator's jobs
 // would get the answers of the earlier ones.
 func TestServicesKeepTheirOwnerAndRegion(t *testing.T) {
-	d := newDesk(t)
+	d := newTestSystem(t)
 	file := func(operator, region, service string) []byte {
 		return fmt.Appendf(nil, `{"operator":%q,"quota":{"tasks_in_flight":10,"tasks_per_second":10},"services":[{"name":%q,"region":%q}]}`, operator, service, region)
 	}
@@ -468,7 +468,7 @@
 	d.is.Equal(f.Problem.Reason, state.ReasonServiceOwned)
 	_, f = d.client.Apply(d.ctx(), "haneul", 2, file("haneul", "kigali", "bench-desk"))
 	d.is.Equal(f.Problem.Reason, state.ReasonRegionFixed)
-	r := <-d.later(d.client, d.request("x", 1, true, ""))
+	r := <-d.submitAsync(d.client, d.request("x", 1, true, ""))
 	d.is.Equal(r.failure.Problem.Reason, state.ReasonUnknownService)
 	d.is.Equal(r.failure.Outcome, state.Unknown) // another entry may have a newer declaration
 	_, f = d.client.Apply(d.ctx(), "haneul", 2, file("haneul", "jeonbuk", "bench-desk"))
@@ -477,12 +477,12 @@
 
 // The system is shut down gracefully while a job runs. The job must get its complete
 // answer.
-func TestPlannedStopCutsNothingOff(t *testing.T) {
-	d := newDesk(t)
-	waiting := d.later(d.client, d.job("last", 24, 600, ""))
+func TestGracefulStopCompletesRunningJob(t *testing.T) {
+	d := newTestSystem(t)
+	waiting := d.submitAsync(d.client, d.job("last", 24, 600, ""))
 	d.awaitStarts("last", 24)
 	d.Stop(d.ctx())
-	d.complete(<-waiting, 24)
+	d.checkComplete(<-waiting, 24)
 	conn, err := net.Dial("tcp", d.Addr())
 	if err == nil {
 		conn.Close()
@@ -493,7 +493,7 @@
 // A declaration that restricts a service to racks must be refused. Tasks aren't placed by
 // rack, so they would run where the operator has ruled it out.
 func TestPlacementByRackIsRefused(t *testing.T) {
-	d := newDesk(t)
+	d := newTestSystem(t)
 	_, f := d.client.Apply(d.ctx(), "haneul", 1, []byte(`{"operator":"haneul","quota":{"tasks_in_flight":1,"tasks_per_second":1},
 		"services":[{"name":"bench-desk","region":"jeonbuk","placement":{"racks":["jeonju/r1"]}}]}`))
 	d.is.Equal(f.Problem.Reason, state.ReasonMalformed)
@@ -502,7 +502,7 @@
 
 // All tasks of a service that is declared for one failure domain must run there.
 func TestPlacementByDomain(t *testing.T) {
-	d := newDesk(t)
+	d := newTestSystem(t)
 	_, f := d.client.Apply(d.ctx(), "haneul", 1, []byte(`{"operator":"haneul","quota":{"tasks_in_flight":1000,"tasks_per_second":1000},
 		"services":[{"name":"bench-desk","region":"jeonbuk","placement":{"domains":["iksan"]}}]}`))
 	d.is.True(f == nil)
@@ -510,7 +510,7 @@
 	for i, e := range d.Executors() {
 		before[i] = e.Starts()
 	}
-	d.complete(<-d.later(d.client, d.job("there", 20, 5, "")), 20)
+	d.checkComplete(<-d.submitAsync(d.client, d.job("there", 20, 5, "")), 20)
 	for i, e := range d.Executors() {
 		d.is.Equal(e.Starts() > before[i], domains[i] == "iksan")
 	}
--- a/daemon/devrun.go
+++ b/daemon/devrun.go
@@ -144,7 +144,7 @@
 	if s == nil {
 		return
 	}
-	ideal := max(s.LongestMS, s.CoreMS/float64(dev.Cores))
+	ideal := max(s.LongestMS, s.CoreMS/float64(dev.TotalCores))
 	took := float64(elapsed) / float64(time.Millisecond)
 	fmt.Fprintf(w, "response %.1f ms, ideal %.1f ms (%.2f times)\n", took, ideal, took/ideal)
 }
