--- a/daemon/memlimit/memlimit.go
+++ b/daemon/memlimit/memlimit.go
@@ -13,22 +13,22 @@
 	"sync"
 )
 
-// room is the fraction of the live heap by which the heap may always grow before the
-// next collection, whatever the limit. Without it, a process whose live heap exceeds
-// the limit would collect continuously with up to half of the machine's processors
-// and stall its requests. With 0.5 it collects at most twice as often as with the
-// runtime's default.
-const room = 0.5
+// minHeapGrowth is the fraction of the live heap by which the heap may always grow
+// before the next collection, whatever the limit. Without it, a process whose live heap
+// exceeds the limit would collect continuously with up to half of the machine's
+// processors and stall its requests. With 0.5 it collects at most twice as often as
+// with the runtime's default.
+const minHeapGrowth = 0.5
 
 // Names of the runtime metrics that are read: the live heap after the last
 // collection, all memory of the runtime, and the parts of that memory which are heap
 // objects, free heap or released to the operating system.
 const (
-	liveHeap = "/gc/heap/live:bytes"
-	total    = "/memory/classes/total:bytes"
-	objects  = "/memory/classes/heap/objects:bytes"
-	free     = "/memory/classes/heap/free:bytes"
-	released = "/memory/classes/heap/released:bytes"
+	liveHeap     = "/gc/heap/live:bytes"
+	totalMemory  = "/memory/classes/total:bytes"
+	heapObjects  = "/memory/classes/heap/objects:bytes"
+	heapFree     = "/memory/classes/heap/free:bytes"
+	heapReleased = "/memory/classes/heap/released:bytes"
 )
 
 // Limit is a memory limit in force. It is safe for concurrent use.
@@ -37,8 +37,8 @@
 	mu    sync.Mutex
 	// stopped is guarded by mu.
 	stopped bool
-	// changed is called after each adjustment of the limit. Only tests set it.
-	changed func()
+	// onAdjust is called after each adjustment of the limit. Only tests set it.
+	onAdjust func()
 }
 
 // Set sets a memory limit in bytes and adjusts it after each collection. If bytes is
@@ -46,11 +46,11 @@
 // does nothing.
 func Set(bytes int64) *Limit { return set(bytes, nil) }
 
-func set(bytes int64, changed func()) *Limit {
-	l := &Limit{bytes: bytes, changed: changed, stopped: bytes <= 0}
+func set(bytes int64, onAdjust func()) *Limit {
+	l := &Limit{bytes: bytes, onAdjust: onAdjust, stopped: bytes <= 0}
 	if bytes > 0 {
 		debug.SetMemoryLimit(bytes)
-		l.arm()
+		l.watchNextCollection()
 	}
 	return l
 }
@@ -65,23 +65,23 @@
 	}
 }
 
-// arm allocates an unreachable object whose cleanup calls collected after the next
-// collection.
-func (l *Limit) arm() {
-	garbage := new([16]byte)
-	runtime.AddCleanup(garbage, (*Limit).collected, l)
+// watchNextCollection allocates an unreachable object whose cleanup calls adjust after
+// the next collection.
+func (l *Limit) watchNextCollection() {
+	sentinel := new([16]byte)
+	runtime.AddCleanup(sentinel, (*Limit).adjust, l)
 }
 
-func (l *Limit) collected() {
+func (l *Limit) adjust() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.stopped {
 		return
 	}
-	debug.SetMemoryLimit(limitFor(l.bytes, read()))
-	l.arm()
-	if l.changed != nil {
-		l.changed()
+	debug.SetMemoryLimit(limitFor(l.bytes, readUsage()))
+	l.watchNextCollection()
+	if l.onAdjust != nil {
+		l.onAdjust()
 	}
 }
 
@@ -93,8 +93,8 @@
 	other uint64
 }
 
-func read() usage {
-	samples := []metrics.Sample{{Name: liveHeap}, {Name: total}, {Name: objects}, {Name: free}, {Name: released}}
+func readUsage() usage {
+	samples := []metrics.Sample{{Name: liveHeap}, {Name: totalMemory}, {Name: heapObjects}, {Name: heapFree}, {Name: heapReleased}}
 	metrics.Read(samples)
 	u := usage{live: samples[0].Value.Uint64(), other: samples[1].Value.Uint64()}
 	for _, heap := range samples[2:] {
@@ -104,8 +104,8 @@
 }
 
 // limitFor returns the limit to set for the given use: the configured one, or a higher
-// one if the live heap could not grow by room under it.
+// one if the live heap could not grow by minHeapGrowth under it.
 func limitFor(set int64, u usage) int64 {
-	needed := int64(u.live) + int64(float64(u.live)*room) + int64(u.other)
+	needed := int64(u.live) + int64(float64(u.live)*minHeapGrowth) + int64(u.other)
 	return max(set, needed)
 }
--- a/daemon/memlimit/memlimit_test.go
+++ b/daemon/memlimit/memlimit_test.go
@@ -15,35 +15,35 @@
 // operator planned for. With a fixed limit the collector would run continuously and use
 // half of the host's processors. The limit must rise with the live heap and return to
 // the configured value when the live heap shrinks.
-func TestLimitGivesWayToWhatLives(t *testing.T) {
+func TestLimitRisesWithLiveHeap(t *testing.T) {
 	is := is.New(t)
-	collected := make(chan struct{}, 1)
+	adjusted := make(chan struct{}, 1)
 	l := set(32*megabyte, func() {
 		select {
-		case collected <- struct{}{}:
+		case adjusted <- struct{}{}:
 		default:
 		}
 	})
 	defer l.Stop()
-	after := func() int64 {
+	limitAfterGC := func() int64 {
 		// Collect twice, because the first collection may have begun before the
 		// latest allocation.
 		for range 2 {
 			runtime.GC()
-			<-collected
+			<-adjusted
 		}
 		return debug.SetMemoryLimit(-1)
 	}
-	is.Equal(after(), int64(32*megabyte))
+	is.Equal(limitAfterGC(), int64(32*megabyte))
 	alive := make([]byte, 128*megabyte)
-	is.True(after() >= 192*megabyte)
+	is.True(limitAfterGC() >= 192*megabyte)
 	runtime.KeepAlive(alive)
-	is.Equal(after(), int64(32*megabyte))
+	is.Equal(limitAfterGC(), int64(32*megabyte))
 	l.Stop()
 	is.Equal(debug.SetMemoryLimit(-1), int64(math.MaxInt64))
 }
 
-func TestRoomIsLeftBesideStacks(t *testing.T) {
+func TestLimitForLeavesRoomToGrow(t *testing.T) {
 	is := is.New(t)
 	is.Equal(limitFor(64*megabyte, usage{live: 8 * megabyte, other: 10 * megabyte}), int64(64*megabyte))
 	is.Equal(limitFor(64*megabyte, usage{live: 80 * megabyte, other: 10 * megabyte}), int64(130*megabyte))
