--- a/protocol/api/answer.go
+++ b/protocol/api/answer.go
@@ -46,10 +46,10 @@
 		return out, nil
 	}
 	if tasks >= 0 && len(a.Results) != tasks {
-		return Answer{}, errors.Errorf("complete answer has %d results for %d tasks", len(a.Results), tasks)
+		return Answer{}, errors.Errorf("%d results for %d tasks", len(a.Results), tasks)
 	}
 	if len(a.Results) == 0 {
-		return Answer{}, errors.New("complete answer without results")
+		return Answer{}, errors.New("no results")
 	}
 	for i, r := range a.Results {
 		raw, err := resultValue(r)
@@ -68,7 +68,7 @@
 		return json.RawMessage("null"), nil
 	}
 	if !json.Valid(payload) {
-		return nil, errors.New("result is not valid JSON")
+		return nil, errors.New("the result is not JSON")
 	}
 	return payload, nil
 }
