--- a/daemon/clients/answer.go
+++ b/daemon/clients/answer.go
@@ -8,8 +8,9 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// reasons are the interface's words for the verdicts of owners and entries.
-var reasons = map[string]state.Reason{
+// verdictReasons maps the reasons in verdicts of owners and entries to the reasons
+// of the HTTP interface.
+var verdictReasons = map[string]state.Reason{
 	owner.ReasonOverload:         state.ReasonOverload,
 	owner.ReasonNoWorker:         state.ReasonNoBackend,
 	owner.ReasonDomainDrained:    state.ReasonDomainDrained,
@@ -21,36 +22,37 @@
 }
 
 func reasonOf(v owner.Response) state.Reason {
-	if r, ok := reasons[v.Reason]; ok {
+	if r, ok := verdictReasons[v.Reason]; ok {
 		return r
 	}
 	return state.ReasonUndocumented
 }
 
-func refused(key state.JobKey, r state.Reason, after time.Duration) state.Answer {
+func refusedAnswer(key state.JobKey, r state.Reason, after time.Duration) state.Answer {
 	return state.Answer{Key: key, Outcome: state.NotRun, Reason: r, RetryAfter: after}
 }
 
-// failed is the answer where there is no job to tell of.
-func failed(key state.JobKey, v owner.Response) state.Answer {
+// failureAnswer returns the answer for a verdict other than OK, which has no job
+// state.
+func failureAnswer(key state.JobKey, v owner.Response) state.Answer {
 	switch v.Outcome {
 	case owner.Refused:
-		return refused(key, reasonOf(v), v.RetryAfter)
+		return refusedAnswer(key, reasonOf(v), v.RetryAfter)
 	case owner.Absent:
-		// A submission may be on its way and be accepted a moment later.
+		// A submission of the job may be in flight and be accepted later.
 		return state.Answer{Key: key, Outcome: state.Unknown, Reason: state.ReasonUnknownJob}
 	}
 	return state.Answer{Key: key, Outcome: state.Unknown, Reason: reasonOf(v), RetryAfter: v.RetryAfter}
 }
 
-// answerOf tells what a job has come to.
+// answerOf returns the answer for a verdict about a job.
 func answerOf(key state.JobKey, v owner.Response) state.Answer {
 	if v.Outcome != owner.OK {
-		return failed(key, v)
+		return failureAnswer(key, v)
 	}
 	switch v.State {
 	case job.Completed:
-		return complete(key, v)
+		return completeAnswer(key, v)
 	case job.Cancelled:
 		return state.Answer{Key: key, Outcome: state.Failed, Reason: state.ReasonCancelled}
 	case job.Failed:
@@ -66,7 +68,8 @@
 	return state.Answer{Key: key, Outcome: state.Pending}
 }
 
-// coreTime is the time of one core that a complete job has taken.
+// coreTime returns the core time that the tasks of a complete job have used. It is
+// zero for an answer that isn't complete.
 func coreTime(a state.Answer, j *state.Job) time.Duration {
 	var sum float64
 	for i, work := range a.Work {
@@ -75,7 +78,7 @@
 	return time.Duration(sum * float64(time.Second))
 }
 
-func complete(key state.JobKey, v owner.Response) state.Answer {
+func completeAnswer(key state.JobKey, v owner.Response) state.Answer {
 	a := state.Answer{Key: key, Outcome: state.Complete, Results: make([][]byte, len(v.Tasks))}
 	for i, t := range v.Tasks {
 		a.Results[i] = []byte(t.Result)
--- a/daemon/clients/apply.go
+++ b/daemon/clients/apply.go
@@ -14,28 +14,30 @@
 	"github.com/shallotstep/shallotstep/state/store"
 )
 
-// declarer is the producer of all declarations; epochs tell writers apart.
-const declarer = "operators"
+// declarationProducer is the name of the producer of all declarations. Concurrent
+// writers use the same name with different epochs.
+const declarationProducer = "operators"
 
-// Apply implements httpapi.Declarer. It replaces an operator's declaration if
-// base is still the version in force.
+// Apply implements httpapi.Declarer. It replaces an operator's declaration if base
+// is the version in force.
 func (d *Declarations) Apply(ctx context.Context, operator string, base state.Version, raw []byte) state.Applied {
 	file, err := declaration.Parse(operator, raw)
 	if err != nil {
 		return notApplied(base, state.ReasonMalformed, err.Error())
 	}
 	if file.Operator != operator {
-		return notApplied(base, state.ReasonMalformed, "the file is of operator "+file.Operator)
+		return notApplied(base, state.ReasonMalformed, "the file names operator "+file.Operator)
 	}
 	for _, s := range file.Services {
 		if len(s.Placement.Racks) > 0 {
-			// Accepted and not gone by, it would have tasks run where they must not.
-			return notApplied(base, state.ReasonMalformed, "service "+s.Name+": placement by rack is not served")
+			// Tasks are not placed by rack. If the restriction were accepted and
+			// ignored, tasks would run where the operator has ruled it out.
+			return notApplied(base, state.ReasonMalformed, "service "+s.Name+": placement by rack is not supported")
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	a := applying{Declarations: d, fencedWriter: newFencedWriter(d.store, DeclarationsPartition, declarer), operator: operator, base: base, raw: raw, file: file}
+	a := applyOperation{Declarations: d, fencedWriter: newFencedWriter(d.store, DeclarationsPartition, declarationProducer), operator: operator, base: base, raw: raw, file: file}
 	out := a.run(ctx)
 	klog.InfoS("Apply", "operator", operator, "base", base, "version", out.Version, "outcome", out.Outcome, "reason", out.Reason)
 	return out
@@ -45,8 +47,8 @@
 	return state.Applied{Version: version, Outcome: state.NotRun, Reason: r, Detail: detail}
 }
 
-// applying is one apply on its way.
-type applying struct {
+// applyOperation is an apply in progress.
+type applyOperation struct {
 	*Declarations
 	*fencedWriter
 	operator string
@@ -55,11 +57,11 @@
 	file     *declaration.File
 }
 
-func (a *applying) run(ctx context.Context) state.Applied {
+func (a *applyOperation) run(ctx context.Context) state.Applied {
 	for {
-		all, err := a.begin(ctx)
+		all, err := a.fenceAndRead(ctx)
 		if err == nil {
-			next, refusal := a.judge(all)
+			next, refusal := a.prepareRecord(all)
 			if refusal != nil {
 				return *refusal
 			}
@@ -67,29 +69,30 @@
 			if err == nil {
 				return state.Applied{Version: next.Version, Outcome: state.Complete}
 			}
-			if ctx.Err() != nil || !triedAgain(err) {
+			if ctx.Err() != nil || !certainlyNotWritten(err) {
 				return state.Applied{Version: a.base, Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: err.Error()}
 			}
 		}
-		klog.V(1).InfoS("An apply is tried again", "operator", a.operator, "epoch", a.epoch, "err", err)
+		klog.V(1).InfoS("Retrying an apply", "operator", a.operator, "epoch", a.epoch, "err", err)
 		if ctx.Err() != nil {
 			return notApplied(a.base, state.ReasonStoreUnavailable, err.Error())
 		}
-		a.rest(ctx)
+		a.backOff(ctx)
 	}
 }
 
-// begin shuts out who is under way and returns what is in force.
-func (a *applying) begin(ctx context.Context) (map[string]*inForce, error) {
+// fenceAndRead fences off concurrent writers and returns the declarations in force
+// by operator.
+func (a *applyOperation) fenceAndRead(ctx context.Context) (map[string]*declarationInForce, error) {
 	records, err := a.fence(ctx, declarationEpoch)
 	if err != nil {
 		return nil, err
 	}
-	out := make(map[string]*inForce, len(records))
+	out := make(map[string]*declarationInForce, len(records))
 	for _, r := range records {
-		f, err := parseRecord(r)
+		f, err := parseDeclarationRecord(r)
 		if err != nil {
-			// Written over, it would be lost for good.
+			// Don't replace a record that can't be read: its content would be lost.
 			return nil, err
 		}
 		out[r.Key] = f
@@ -98,21 +101,23 @@
 }
 
 func declarationEpoch(r store.Record) (int64, error) {
-	f, err := parseRecord(r)
+	f, err := parseDeclarationRecord(r)
 	if err != nil {
 		return 0, err
 	}
 	return f.Epoch, nil
 }
 
-// judge says why the declaration can't be in force, or returns its record.
-func (a *applying) judge(all map[string]*inForce) (*declared, *state.Applied) {
+// prepareRecord returns the record that replaces the operator's declaration, or the
+// result that ends the apply without a write: a refusal, or success if the
+// declaration is already in force.
+func (a *applyOperation) prepareRecord(all map[string]*declarationInForce) (*declarationRecord, *state.Applied) {
 	old := all[a.operator]
 	current := state.Version(0)
 	if old != nil {
 		current = old.Version
 		if current == a.base+1 && old.File == string(a.raw) {
-			// A repeat whose first reply was lost.
+			// The operator retries an apply whose response was lost.
 			return nil, &state.Applied{Version: current, Outcome: state.Complete}
 		}
 	}
@@ -125,7 +130,7 @@
 			region, owned := f.Owned[s.Name]
 			switch {
 			case owned && name != a.operator:
-				out := notApplied(current, state.ReasonServiceOwned, "service "+s.Name+" is of operator "+name)
+				out := notApplied(current, state.ReasonServiceOwned, "service "+s.Name+" belongs to operator "+name)
 				return nil, &out
 			case owned && region != s.Region:
 				out := notApplied(current, state.ReasonRegionFixed, "service "+s.Name+" is in region "+region)
@@ -133,16 +138,17 @@
 			}
 		}
 	}
-	next := a.next(old, a.base, a.raw, a.file, time.Now())
+	next := a.nextRecord(old, a.base, a.raw, a.file, time.Now())
 	next.Epoch = a.epoch
 	return &next, nil
 }
 
-// write has the record in the store, and has the entry that wrote it go by it at once.
-func (a *applying) write(ctx context.Context, next *declared) error {
+// write appends the record to the store and puts it into force at this entry
+// immediately.
+func (a *applyOperation) write(ctx context.Context, next *declarationRecord) error {
 	value, err := json.Marshal(next)
 	if err != nil {
-		return errors.Wrap(err, "declaration")
+		return errors.Wrap(err, "encode declaration record")
 	}
 	r := store.Record{Key: a.operator, Value: value}
 	if err := a.append(ctx, r); err != nil {
@@ -150,5 +156,5 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.takeLocked(r)
+	return a.updateLocked(r)
 }
--- a/daemon/clients/drains.go
+++ b/daemon/clients/drains.go
@@ -17,73 +17,76 @@
 	"github.com/shallotstep/shallotstep/state/store"
 )
 
-// drainsPartition is where the store keeps the drains, one record for each failure domain
-// that ever was drained.
+// drainsPartition is the partition of the store that holds the drains, with one record
+// per failure domain that has ever been drained.
 var drainsPartition = store.Partition{Topic: "keyed.drains", Part: 0}
 
-// drainer is the producer of all drains; epochs tell writers apart.
-const drainer = "drains"
+// drainProducer is the name of the producer of all drains. Concurrent writers use the same
+// name with different epochs.
+const drainProducer = "drains"
 
-// drainRecord is a failure domain's record. It stays when the drain ends, for its history.
+// drainRecord is the stored record of a failure domain's drain. It is kept after the drain
+// has ended, for its history.
 type drainRecord struct {
 	Drained bool             `json:"drained"`
 	Version state.Version    `json:"version"`
 	History []api.DrainEntry `json:"history"`
-	// Epoch is the one it was written under.
+	// Epoch is the epoch under which the record was written.
 	Epoch int64 `json:"epoch"`
 }
 
-// Drains are the drains of failure domains that operators have asked for at this interface,
-// as far as they were read. It is safe for concurrent use.
+// Drains holds the drains of failure domains that operators have set at this interface and
+// that the entry has read from the store. It is safe for concurrent use.
 type Drains struct {
 	store store.Store
-	// name is this entry's, for the history.
+	// name is the name of this entry, for the history.
 	name string
 
 	mu      sync.RWMutex
 	records map[string]*drainRecord // guarded by mu
 }
 
-// NewDrains returns drains of which nothing was read yet.
+// NewDrains returns a Drains that has read no records yet. name is the name of the entry.
 func NewDrains(st store.Store, name string) *Drains {
 	return &Drains{store: st, name: name, records: make(map[string]*drainRecord)}
 }
 
-// Source is where a system whose drains are set at this interface reads them.
+// Source returns the source of drains for a system whose operators set them at this
+// interface.
 func (d *Drains) Source() core.DrainSource {
 	return core.DrainSource{Partition: drainsPartition, Decode: d.decode}
 }
 
-// decode takes in a record that the entry has read.
+// decode stores a record that the entry has read, and returns the change that it makes.
 func (d *Drains) decode(r store.Record) (drains.Change, bool, error) {
-	rec, err := parseDrain(r)
+	rec, err := parseDrainRecord(r)
 	if err != nil {
 		return drains.Change{}, false, err
 	}
-	d.take(r.Key, rec)
+	d.update(r.Key, rec)
 	return drains.Change{Domain: r.Key, Drained: rec.Drained}, true, nil
 }
 
-func parseDrain(r store.Record) (*drainRecord, error) {
+func parseDrainRecord(r store.Record) (*drainRecord, error) {
 	rec := &drainRecord{}
 	if err := json.Unmarshal(r.Value, rec); err != nil {
 		return nil, errors.Wrapf(err, "drain of %.80q", r.Key)
 	}
 	if r.Key == "" || len(rec.History) == 0 {
-		return nil, errors.Errorf("drain of %.80q: no history", r.Key)
+		return nil, errors.Errorf("drain of %.80q: record has no key or no history", r.Key)
 	}
 	return rec, nil
 }
 
 func drainEpoch(r store.Record) (int64, error) {
-	rec, err := parseDrain(r)
+	rec, err := parseDrainRecord(r)
 	if err != nil {
 		return 0, err
 	}
 	return rec.Epoch, nil
 }
 
-func (d *Drains) take(domain string, rec *drainRecord) {
+func (d *Drains) update(domain string, rec *drainRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if old := d.records[domain]; old == nil || old.Version < rec.Version {
@@ -91,7 +94,7 @@
 	}
 }
 
-// History returns what was asked for a failure domain, newest last.
+// History returns the drain changes of a failure domain, newest last.
 func (d *Drains) History(domain string) []api.DrainEntry {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -101,29 +104,30 @@
 	return nil
 }
 
-// Set drains a failure domain, or ends its drain. What is so already stays as it is, and
-// counts as done: a repeat whose first reply was lost does no harm.
+// Set drains a failure domain or ends its drain. It is idempotent: if the domain is already
+// in that state, Set writes nothing and reports success, so an operator can retry a request
+// whose response was lost.
 func (d *Drains) Set(ctx context.Context, domain string, drained bool) state.Applied {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	w := newFencedWriter(d.store, drainsPartition, drainer)
+	w := newFencedWriter(d.store, drainsPartition, drainProducer)
 	for {
-		out, err := d.setOnce(ctx, w, domain, drained)
+		out, err := d.trySet(ctx, w, domain, drained)
 		switch {
 		case err == nil:
-			klog.InfoS("A drain was set", "domain", domain, "drained", drained, "version", out.Version)
+			klog.InfoS("Set the drain of a failure domain", "domain", domain, "drained", drained, "version", out.Version)
 			return out
-		case !triedAgain(err) && w.wrote:
+		case !certainlyNotWritten(err) && w.appendSent:
 			return state.Applied{Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: err.Error()}
 		case ctx.Err() != nil:
 			return notApplied(0, state.ReasonStoreUnavailable, err.Error())
 		}
-		klog.V(1).InfoS("A drain is tried again", "domain", domain, "epoch", w.epoch, "err", err)
-		w.rest(ctx)
+		klog.V(1).InfoS("Retrying to set the drain of a failure domain", "domain", domain, "epoch", w.epoch, "err", err)
+		w.backOff(ctx)
 	}
 }
 
-func (d *Drains) setOnce(ctx context.Context, w *fencedWriter, domain string, drained bool) (state.Applied, error) {
+func (d *Drains) trySet(ctx context.Context, w *fencedWriter, domain string, drained bool) (state.Applied, error) {
 	records, err := w.fence(ctx, drainEpoch)
 	if err != nil {
 		return state.Applied{}, err
@@ -133,7 +137,7 @@
 		if r.Key != domain {
 			continue
 		}
-		old, err := parseDrain(r)
+		old, err := parseDrainRecord(r)
 		if err != nil {
 			return state.Applied{}, err
 		}
@@ -150,11 +154,11 @@
 	next.History = next.History[max(0, len(next.History)-maxHistory):]
 	value, err := json.Marshal(&next)
 	if err != nil {
-		return state.Applied{}, errors.Wrap(err, "drain")
+		return state.Applied{}, errors.Wrap(err, "encode drain record")
 	}
 	if err := w.append(ctx, store.Record{Key: domain, Value: value}); err != nil {
 		return state.Applied{}, err
 	}
-	d.take(domain, &next)
+	d.update(domain, &next)
 	return state.Applied{Version: next.Version, Outcome: state.Complete}, nil
 }
--- a/protocol/api/submission_test.go
+++ b/protocol/api/submission_test.go
@@ -16,9 +16,9 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-const goodJob = `{"id":"j1","deadline_ms":2500,"tasks":[
+const validJob = `{"id":"j1","deadline_ms":2500,"tasks":[
   {"payload": {"doll": 7},"cores":0.5,"memory_mb":64,"accelerators":1,"expected_ms":120},
   {"payload":"x"}]}`
 
@@ -26,10 +26,11 @@
 	return `{"id":"j1","tasks":[` + strings.TrimSuffix(strings.Repeat(`{"payload":1},`, n), ",") + `]}`
 }
 
-// A caller sends a body that two programs could read differently, or that no
-// worker could ever serve. It must be turned away before anything is claimed:
-// whatever slips through here starts wrong work, or the same work under two
-// ids. testdata/refused.golden holds kind, header key, body and detail.
+// A body that two programs could read differently, or whose numbers are beyond
+// any worker, must be refused before anything is recorded. Otherwise it could
+// start the wrong work, or the same work under two ids. Each line of
+// testdata/refused.golden has a kind, a header key, a body and the expected
+// detail.
 func TestDecodeRefusesBadBodies(t *testing.T) {
 	is := is.New(t)
 	const file = "testdata/refused.golden"
@@ -78,22 +79,22 @@
 	is.Equal(p.Status, http.StatusRequestEntityTooLarge)
 	is.Equal(p.Outcome, state.NotRun)
 
-	large := goodJob + strings.Repeat(" ", state.MaxBodyBytes)
+	large := validJob + strings.Repeat(" ", state.MaxBodyBytes)
 	_, _, p = DecodeJob("s", "", []byte(large))
 	is.Equal(p.Reason, state.ReasonTooLarge)
 	is.Equal(p.Status, http.StatusRequestEntityTooLarge)
 
-	_, _, p = DecodeJob("a/b", "", []byte(goodJob))
+	_, _, p = DecodeJob("a/b", "", []byte(validJob))
 	is.Equal(p.Reason, state.ReasonMalformed) // service name
 	_, _, p = DecodeJob("s", strings.Repeat("a", state.MaxIDLength+1), []byte(`{"tasks":[{"payload":1}]}`))
 	is.Equal(p.Detail, "id is longer than 128 bytes")
 	_, _, p = DecodeJob("s", "", []byte(`{"tasks":[{"payload":`+strings.Repeat("[", 20000)))
-	is.Equal(p.Reason, state.ReasonMalformed) // too deep
+	is.Equal(p.Reason, state.ReasonMalformed) // nested too deeply
 }
 
 func TestDecodeJobReadsAllFields(t *testing.T) {
 	is := is.New(t)
-	job, deadline, p := DecodeJob("bench-desk", "", []byte(goodJob))
+	job, deadline, p := DecodeJob("bench-desk", "", []byte(validJob))
 	is.True(p == nil)
 	is.Equal(deadline, 2500*time.Millisecond)
 	is.Equal(job.Key, state.JobKey{Service: "bench-desk", ID: "j1"})
@@ -103,14 +104,14 @@
 	is.Equal(string(job.Tasks[1].Payload), `"x"`)
 }
 
-// Unless it says so, a request is not repeatable.
+// A request without a "repeatable" field is not repeatable.
 func TestDecodeRequest(t *testing.T) {
 	is := is.New(t)
 	for field, want := range map[string]bool{`"repeatable":true,`: true, `"repeatable":false,`: false, "": false} {
 		sub, p := Decode(KindRequest, "s", "", []byte(`{"id":"q",`+field+`"task":{"payload":[1]}}`))
 		is.True(p == nil)
 		is.Equal(sub.Job.Repeatable, want)
-		is.Equal(sub.RepeatableStated, field != "")
+		is.Equal(sub.RepeatableSet, field != "")
 	}
 }
 
@@ -124,10 +125,11 @@
 	}
 }
 
-// A client that reads a submission back and sends it again must send the same
-// work: a body that changes on the way would be another job under the same id.
+// A decoded submission that is encoded by Body and decoded again must be the same
+// job with the same digest. Otherwise a resubmission would be refused as another
+// job under the same id.
 func FuzzDecode(f *testing.F) {
-	f.Add("", []byte(goodJob))
+	f.Add("", []byte(validJob))
 	f.Add("k", []byte(`{"tasks":[{"payload":"\u003c"}]}`))
 	f.Add("", []byte(`{"id":"q","repeatable":true,"deadline_ms":9,"task":{"payload":{"a":-0.0}, "cores":-0.0}}`))
 	f.Add("", []byte(`{"id":"a/b","tasks":[{"payload":[[]],"cores":1e-7,"memory_mb":-0}]}`))
@@ -140,16 +142,16 @@
 			job, deadline, p := decode("s", key, body)
 			if p != nil {
 				if p.Outcome != state.NotRun || p.Status < 400 {
-					t.Fatalf("refused as %v", p)
+					t.Fatalf("refused with an outcome other than not run or a status below 400: %v", p)
 				}
 				continue
 			}
 			again, deadlineAgain, p := decode("s", "", (&Submission{Kind: kind, Job: job, Deadline: deadline}).Body())
 			if p != nil {
-				t.Fatalf("own body refused: %v", p)
+				t.Fatalf("re-encoded body refused: %v", p)
 			}
 			if !reflect.DeepEqual(job, again) || deadline != deadlineAgain || job.Digest() != again.Digest() {
-				t.Fatalf("read back as %+v, was %+v", again, job)
+				t.Fatalf("re-encoded body decodes to %+v, want %+v", again, job)
 			}
 		}
 	})
