--- a/state/outcome.go
+++ b/state/outcome.go
@@ -2,26 +2,27 @@
 
 import "net/http"
 
-// Outcome says how far a submission came. Only one who holds the authority to
-// know may say NotRun.
+// Outcome is the final or current state of a submission. NotRun may be reported
+// only by a component that can rule out that a task was or will be started;
+// otherwise the outcome is Unknown.
 type Outcome uint8
 
 const (
-	// Pending means that the job is still being worked on.
+	// Pending means that the job has not ended yet.
 	Pending Outcome = iota
 	// Complete means that every task has a result.
 	Complete
-	// NotRun means that nobody has started any part and nobody will.
+	// NotRun means that no task was started and none will be.
 	NotRun
-	// Failed means that it or part of it ran, or was stopped.
+	// Failed means that the job ran at least in part and failed, or was cancelled.
 	Failed
-	// Unknown means that it may have run.
+	// Unknown means that the job may have run.
 	Unknown
 )
 
 var outcomeNames = [...]string{"pending", "complete", "not_run", "failed", "unknown"}
 
-// String returns the outcome as it stands in answers and metrics.
+// String returns the name of the outcome in answers and metrics.
 func (o Outcome) String() string {
 	if int(o) >= len(outcomeNames) {
 		return "unknown"
@@ -29,16 +30,16 @@
 	return outcomeNames[o]
 }
 
-// Reason is a documented code for a refusal or a failure. The same word stands
-// in problem documents, metric labels and logs; docs/OPERATIONS.md lists what
-// to do about each.
+// Reason is a documented code for a refusal or a failure. Problem documents,
+// metric labels and logs use the same code; docs/OPERATIONS.md lists what to do
+// about each.
 type Reason string
 
-// The reasons. Each has an entry in reasonStatus.
+// The reasons. Each one needs an entry in reasonStatus.
 const (
 	ReasonNone Reason = ""
 
-	// The submission itself.
+	// Faults of the submission itself.
 	ReasonMalformed      Reason = "malformed"
 	ReasonTooLarge       Reason = "too_large"
 	ReasonTooManyTasks   Reason = "too_many_tasks"
@@ -49,30 +50,32 @@
 	ReasonIDConflict     Reason = "id_conflict"
 	ReasonNeverRunnable  Reason = "never_runnable"
 
-	// Limits.
+	// Limits that were reached.
 	ReasonQuota    Reason = "quota"
 	ReasonOverload Reason = "overload"
 	ReasonBusy     Reason = "busy"
 
-	// Time.
+	// The end of the wait for a job.
 	ReasonDeadline  Reason = "deadline"
 	ReasonCancelled Reason = "cancelled"
 
-	// Who owns the job, and where its tasks run.
+	// Ownership of the job and placement of its tasks.
 	ReasonNoOwner   Reason = "no_owner"
 	ReasonOwnerLost Reason = "owner_lost"
 	ReasonNoBackend Reason = "no_backend"
-	// All backend servers that may have the job are in drained failure domains.
+	// ReasonDomainDrained: all backend servers that could run the job are in
+	// drained failure domains.
 	ReasonDomainDrained Reason = "domain_drained"
 	ReasonTaskFailed    Reason = "task_failed"
-	// ReasonCutOff: a task was cut off with its backend server; it may have run
-	// in part, and may not be repeated.
+	// ReasonCutOff: the backend server that ran a task was lost. The task may have
+	// run in part and must not be started again, because the job is not
+	// repeatable.
 	ReasonCutOff Reason = "cut_off"
-	// ReasonCrashed: a task took the backend servers down on which it was started, and is
-	// not started again.
+	// ReasonCrashed: a task crashed the backend servers on which it was started and
+	// is not started again.
 	ReasonCrashed Reason = "task_crashed"
 
-	// The platform's store, and declarations in it.
+	// The platform's store, and the declarations and drains in it.
 	ReasonStoreUnavailable Reason = "store_unavailable"
 	ReasonLostRace         Reason = "lost_race"
 	ReasonServiceOwned     Reason = "service_owned"
@@ -80,17 +83,20 @@
 	ReasonApplyUnknown     Reason = "apply_unknown"
 	ReasonNoDeclaration    Reason = "no_declaration"
 	ReasonNotReady         Reason = "not_ready"
-	// ReasonUnknownDomain: no agent is known in the failure domain.
+	// ReasonUnknownDomain: no known agent is in the failure domain.
 	ReasonUnknownDomain Reason = "unknown_domain"
-	// ReasonDrainsElsewhere: drains are set at the platform, not at this interface.
+	// ReasonDrainsElsewhere: drains are set through the platform, not through this
+	// interface.
 	ReasonDrainsElsewhere Reason = "drains_elsewhere"
 
 	// The HTTP interface itself.
 	ReasonUnknownRoute     Reason = "unknown_route"
 	ReasonMethodNotAllowed Reason = "method_not_allowed"
-	// ReasonInternal says that a check on an answer failed before it went out.
+	// ReasonInternal: an answer failed an internal consistency check and was not
+	// sent.
 	ReasonInternal Reason = "internal"
-	// ReasonUndocumented stands for a word of a peer that is not in this list.
+	// ReasonUndocumented replaces a reason received from a peer that is not in this
+	// list.
 	ReasonUndocumented Reason = "undocumented"
 )
 
@@ -131,8 +137,8 @@
 	ReasonUndocumented:     http.StatusInternalServerError,
 }
 
-// HTTPStatus returns the status code that answers a request refused or failed
-// for this reason.
+// HTTPStatus returns the HTTP status code of a response to a request that was
+// refused or failed for this reason.
 func (r Reason) HTTPStatus() int {
 	if s, ok := reasonStatus[r]; ok {
 		return s
@@ -140,9 +146,9 @@
 	return http.StatusInternalServerError
 }
 
-// Known returns r if it is documented, and ReasonUndocumented otherwise. None
-// stays none. Reasons are labels of metrics: each new word of a peer would be a
-// new series, for ever.
+// Known returns r if it is documented or ReasonNone, and ReasonUndocumented
+// otherwise. Reasons are metric labels: without this, every new value that a peer
+// sends would create a time series that is never removed.
 func (r Reason) Known() Reason {
 	if _, ok := reasonStatus[r]; ok || r == ReasonNone {
 		return r
--- a/state/state.go
+++ b/state/state.go
@@ -1,7 +1,8 @@
-// Package state holds the vocabulary of the clients' interface: submissions,
-// answers, outcomes and reasons. Its subpackages hold what the layers below
-// share (jobs, routing, declarations) and the interface of the store. Nothing here opens a socket, reads a clock or
-// starts a goroutine.
+// Package state defines the types of the client API: submissions, answers,
+// outcomes and reasons. Its subpackages define the types that the lower layers
+// share (jobs, routing, declarations) and the interface to the store. The types
+// are plain data: nothing here opens a socket, reads a clock or starts a
+// goroutine.
 package state
 
 import (
@@ -11,34 +12,37 @@
 	"time"
 )
 
-// Limits on what a caller may submit. They bound memory before anything is
-// parsed into tasks.
+// Limits on what a caller may submit. They bound the memory that a request
+// takes before its body is parsed into tasks.
 const (
 	// MaxTasksPerJob is the largest number of tasks in one job.
 	MaxTasksPerJob = 1000
-	// MaxBodyBytes bounds one HTTP request body.
+	// MaxBodyBytes is the largest HTTP request body, in bytes.
 	MaxBodyBytes = 8 << 20
-	// MaxIDLength bounds a job id, a service name and an operator name, in bytes.
+	// MaxIDLength is the longest job ID, service name or operator name, in
+	// bytes.
 	MaxIDLength = 128
 )
 
-// Version counts an operator's accepted declarations. Zero means that it has
-// declared nothing yet.
+// Version is the number of declarations of an operator that were accepted. Zero
+// means that the operator has no declaration yet.
 type Version int64
 
-// JobKey identifies a job: ids are chosen by callers and scoped by service.
+// JobKey identifies a job. The caller chooses the ID, which is unique within the
+// service only.
 type JobKey struct {
 	Service string
 	ID      string
 }
 
-// Digest is the SHA-256 of what a submission asks for. Two submissions with
-// the same key and different digests are different requests under one id.
+// Digest is the SHA-256 hash of the content of a submission. Two submissions
+// with the same key and different digests are different requests under the same
+// ID.
 type Digest [sha256.Size]byte
 
-// Task is one unit of work as the caller declared it.
+// Task is one unit of work as described by the caller.
 type Task struct {
-	// Payload is the JSON value handed to the backend server as it came.
+	// Payload is the JSON value that is passed unchanged to the backend server.
 	Payload []byte
 	// Cores is the number of processors the caller expects the task to use.
 	Cores float64
@@ -46,7 +50,8 @@
 	MemoryMB int64
 	// Accelerators is the number of accelerators the task needs.
 	Accelerators int64
-	// Expected is the run time the caller expects. Zero means not stated.
+	// Expected is the run time the caller expects. Zero means that the caller
+	// gave none.
 	Expected time.Duration
 }
 
@@ -55,12 +60,14 @@
 	Key      JobKey
 	Operator string
 	Tasks    []Task
-	// Repeatable marks a request that may safely run more than once.
+	// Repeatable marks a job whose tasks are idempotent and may run more than
+	// once.
 	Repeatable bool
 }
 
-// Digest returns the content digest of the job. The deadline is left out: a
-// caller that submits again waits anew, for the same work.
+// Digest returns the content digest of the job. The deadline is not part of it,
+// because a caller that retries a submission sets a new deadline for the same
+// work.
 func (j *Job) Digest() Digest {
 	h := sha256.New()
 	var buf [8]byte
@@ -88,41 +95,44 @@
 	return d
 }
 
-// Answer is what became of a submission.
+// Answer is the result of a submission.
 type Answer struct {
 	Key     JobKey
 	Outcome Outcome
 	Reason  Reason
-	// Detail is a sentence for a person; it may be empty.
+	// Detail is a human-readable explanation; it may be empty.
 	Detail string
-	// RetryAfter is when coming back makes sense. Zero means it doesn't help.
+	// RetryAfter is how long the caller should wait before it retries. Zero means
+	// that a retry does not help.
 	RetryAfter time.Duration
-	// Results stand in task order. Set only when Outcome is Complete.
+	// Results has the result of each task, in task order. It is set only if
+	// Outcome is Complete.
 	Results [][]byte
-	// Work is how long each task was at work.
+	// Work has the execution time of each task, in task order.
 	Work  []time.Duration
 	Stats Stats
 }
 
-// Stats is what a complete job cost.
+// Stats holds the execution times of a complete job.
 type Stats struct {
-	// Longest is the longest time that a task was at work, Total the sum over
-	// all tasks.
+	// Longest is the longest execution time of a task, Total the sum over all
+	// tasks.
 	Longest, Total time.Duration
-	// Cores is Total with each task counted once for each core it asked for; zero
-	// where the asker doesn't know.
+	// Cores is the sum of each task's execution time multiplied by the cores it
+	// requested. Zero means that the requested cores are not known, as when a job
+	// is looked up by its ID.
 	Cores time.Duration
-	// Elapsed is the time from the acceptance to the end.
+	// Elapsed is the time from the acceptance of the job to its end.
 	Elapsed time.Duration
 }
 
-// Applied is what became of a declaration.
+// Applied is the result of applying a declaration or a drain.
 type Applied struct {
-	// Version is the accepted version when Reason is empty; otherwise the
-	// version in force.
+	// Version is the version that was accepted if Reason is empty, and otherwise
+	// the version in force.
 	Version Version
-	// Outcome is Complete when accepted, NotRun when refused for certain and
-	// Unknown when it may be in force.
+	// Outcome is Complete if the change was accepted, NotRun if it was refused and
+	// did not take effect, and Unknown if it may have taken effect.
 	Outcome Outcome
 	Reason  Reason
 	Detail  string
