--- a/state/job/crash.go
+++ b/state/job/crash.go
@@ -1,14 +1,14 @@
 package job
 
-// Crash is a backend server that was lost while a run of a task was there.
+// Crash records the loss of a backend server while it ran a task.
 type Crash struct {
-	// Run is the number of the run, Node the agent beside the server, and Instance that
-	// of the server.
+	// Run is the number of the task's run, Node the name of the server's agent, and
+	// Instance the server's instance ID.
 	Run            int64
 	Node, Instance string
-	// Alone is set where no other run was on the server.
+	// Alone is set if the server had no other run.
 	Alone bool
-	// Confirmed is set once another instance has come up beside an agent that ran on. A
-	// server that was only cut off comes back as the same instance.
+	// Confirmed is set once a new instance of the server has registered with the same
+	// agent process. A server that was only disconnected returns as the same instance.
 	Confirmed bool
 }
--- a/state/job/job.go
+++ b/state/job/job.go
@@ -1,6 +1,7 @@
-// Package job holds what a durable job is: its steps, the tasks they consist
-// of, the limits of the queue it was sent to, and its lifecycle. Nothing here
-// opens a socket, reads a clock or starts a goroutine.
+// Package job defines a job as owners and agents handle it: its steps and their
+// tasks, the policy of its queue, its lifecycle and its stored record. The types
+// are plain data: nothing here opens a socket, reads a clock or starts a
+// goroutine.
 package job
 
 import (
@@ -9,79 +10,85 @@
 	"time"
 )
 
-// ID names a job. The client chooses it; the same ID is always the same job.
+// ID identifies a job. It derives from the ID that the client chose, so that a
+// repeated submission has the ID of the first one.
 type ID string
 
-// Step is a group of equal tasks.
+// Step is a group of tasks that differ at most in their payloads.
 type Step struct {
 	// Count is the number of tasks.
 	Count int
-	// Demand is what each task takes of a worker while it runs.
+	// Demand is the resources that each task occupies while it runs.
 	Demand Demand
-	// Estimate is the client's rough figure for one task's run time.
+	// Estimate is the client's estimate of the run time of one task.
 	Estimate time.Duration
-	// DependsOn lists the steps that must be done before a task of this one
-	// may start.
+	// DependsOn has the indexes of the steps that must be done before a task of
+	// this step may start.
 	DependsOn []int
 	// Label is a label that the backend server must have; empty means any.
 	Label string
-	// Rack is where the input lies; elsewhere a task takes longer.
+	// Rack is the rack that holds the input data. In another rack a task takes
+	// longer.
 	Rack string
-	// MaxPerWorker bounds the step's tasks on one backend server; zero means
-	// no bound.
+	// MaxPerWorker is the largest number of the step's tasks on one backend
+	// server at a time. Zero means no limit.
 	MaxPerWorker int
-	// Checkpoints is set when the tasks save their progress.
+	// Checkpoints is set if the tasks save checkpoints of their progress.
 	Checkpoints bool
-	// Domains are the failure domains to run in; none means anywhere.
+	// Domains are the failure domains that the tasks may run in. None means any.
 	Domains []string
-	// Payloads has a payload for each task. Where there are none, all tasks get
-	// the job's.
+	// Payloads has the payload of each task. A task without one gets the payload
+	// of the job.
 	Payloads []string
 }
 
-// Demand is the share of a worker that one task occupies.
+// Demand is an amount of a worker's resources: what a task occupies, or what a
+// backend server has in total or free. CPUMillis is in thousandths of a core.
 type Demand struct {
 	CPUMillis, MemoryMB, GPUs int64
 }
 
-// Plus returns the sum of both.
+// Plus returns d + o in each dimension.
 func (d Demand) Plus(o Demand) Demand {
 	return Demand{d.CPUMillis + o.CPUMillis, d.MemoryMB + o.MemoryMB, d.GPUs + o.GPUs}
 }
 
-// Minus returns the difference of both.
+// Minus returns d - o in each dimension.
 func (d Demand) Minus(o Demand) Demand {
 	return Demand{d.CPUMillis - o.CPUMillis, d.MemoryMB - o.MemoryMB, d.GPUs - o.GPUs}
 }
 
-// Times returns a multiple of the demand.
+// Times returns d multiplied by n in each dimension, rounded towards zero.
 func (d Demand) Times(n float64) Demand {
 	times := func(v int64) int64 { return int64(n * float64(v)) }
 	return Demand{times(d.CPUMillis), times(d.MemoryMB), times(d.GPUs)}
 }
 
-// Fits reports whether the demand fits into room in each dimension.
+// Fits reports whether d is at most room in each dimension.
 func (d Demand) Fits(room Demand) bool {
 	return d.CPUMillis <= room.CPUMillis && d.MemoryMB <= room.MemoryMB && d.GPUs <= room.GPUs
 }
 
-// Spec is what the client asks for.
+// Spec describes the work that the client requested.
 type Spec struct {
-	// Payload is handed to the backend server as it came.
+	// Payload is passed unchanged to the backend server, for each task without a
+	// payload of its own.
 	Payload string
 	Steps   []Step
-	// Digest is the hash of what a client asked for, where its interface tells
-	// a repeat from another job under the same ID.
+	// Digest is the hash of the submission. It distinguishes a repeated submission
+	// from a different job under the same ID. Empty if the client's interface does
+	// not make this distinction.
 	Digest string
-	// BestEffort jobs are not recorded: the client waits for the end and sends
-	// the job again if it hears nothing.
+	// BestEffort jobs are not recorded in the store: the client waits for the end
+	// and submits the job again if it gets no answer.
 	BestEffort bool
-	// Patience is how long the client of a best-effort job waits for its end; zero:
-	// it has not said. It is of one submission and is not recorded.
+	// Patience is how much longer the client of a best-effort job waits for its
+	// end, as stated in this submission. Zero means not stated. It is not recorded
+	// in the store.
 	Patience time.Duration
 }
 
-// Tasks returns the number of tasks of all steps.
+// Tasks returns the total number of tasks of all steps.
 func (s *Spec) Tasks() int {
 	n := 0
 	for i := range s.Steps {
@@ -90,7 +97,7 @@
 	return n
 }
 
-// TaskPayload is what the backend server gets for one task.
+// TaskPayload returns the payload that the backend server gets for a task.
 func (s *Spec) TaskPayload(id TaskID) string {
 	if st := &s.Steps[id.Step]; id.Index < len(st.Payloads) {
 		return st.Payloads[id.Index]
@@ -98,33 +105,37 @@
 	return s.Payload
 }
 
-// Policy is what the configuration in force at the submission says of the
-// job's queue.
+// Policy holds the rules for a job's queue, from the configuration in force when
+// the job was submitted.
 type Policy struct {
 	Queue   string
 	Service string
-	// Priority 0 comes first.
+	// Priority orders the jobs; 0 is the most urgent.
 	Priority int
-	// MaxAttempts bounds the runs of a task that end failed.
+	// MaxAttempts is the number of failed runs of a task after which the job
+	// fails. Less than 1 counts as 1.
 	MaxAttempts int
-	// Once forbids to start a task again whose run may have done something: it
-	// fails its job instead.
+	// Once forbids starting a task again if an earlier run may have had effects. The
+	// job fails instead.
 	Once bool
-	// Slack times the longest chain of work, plus Target, is the latency
-	// objective.
+	// Slack and Target define the latency objective of a job: the length of the
+	// longest chain of dependent steps, multiplied by Slack, plus Target. Slack below
+	// 1 counts as 1.
 	Slack  float64
 	Target time.Duration
-	// TimeLimit is how long clients usually wait for an answer; zero: not known. It is
-	// of a submission's queue, and is not recorded.
+	// TimeLimit is how long clients of this queue usually wait for an answer. Zero
+	// means not known. It is not recorded in the store.
 	TimeLimit time.Duration
-	// Version is the configuration that the entry judged the submission by.
+	// Version is the version of the configuration with which the entry admitted the
+	// submission.
 	Version int64
 }
 
-// State is a job's place in its lifecycle.
+// State is the state of a job in its lifecycle.
 type State uint8
 
-// The states in the order of a job's life. The last three are final.
+// The states in the order in which a job passes through them. The last three are
+// final.
 const (
 	Queued State = iota
 	Active
@@ -133,7 +144,7 @@
 	Cancelled
 )
 
-// Final reports whether the state never changes again.
+// Final reports whether the job has ended and its state can no longer change.
 func (s State) Final() bool { return s >= Completed }
 
 func (s State) String() string {
@@ -152,31 +163,34 @@
 	return "state " + strconv.Itoa(int(s))
 }
 
-// TaskID names one task of a job.
+// TaskID identifies a task: the index of its step in the job and its index within
+// the step, both from 0.
 type TaskID struct {
 	Job         ID
 	Step, Index int
 }
 
-// RunID is one start of a task. Number rises with each start.
+// RunID identifies one run of a task. Number increases with each start of the
+// task.
 type RunID struct {
 	Task   TaskID
 	Number int64
 }
 
-// EndKind says how a run ended.
+// EndKind is the way in which a run ended.
 type EndKind uint8
 
 const (
-	// Done means that the task's work is complete.
+	// Done means that the run completed the task.
 	Done EndKind = iota
-	// FailedRun ends count toward the attempts.
+	// FailedRun means that the run failed. It counts toward Policy.MaxAttempts.
 	FailedRun
-	// Stopped runs were told to stop.
+	// Stopped means that the run was stopped on request.
 	Stopped
-	// Lapsed runs were killed with the executor or because its lease expired.
+	// Lapsed means that the run was killed because its backend server was lost or
+	// its lease expired.
 	Lapsed
-	// NeverRan means that the run did not start and can't start any more.
+	// NeverRan means that the run did not start and can no longer start.
 	NeverRan
 )
 
@@ -196,7 +210,7 @@
 	return "end " + strconv.Itoa(int(k))
 }
 
-// Shard returns the shard, of a number of them, that a job belongs to.
+// Shard returns the number of the shard that a job belongs to, from 0 to shards-1.
 func (id ID) Shard(shards int) int {
 	h := fnv.New32a()
 	h.Write([]byte(id))
--- a/state/job/record.go
+++ b/state/job/record.go
@@ -2,43 +2,45 @@
 
 import "time"
 
-// Record is what the store keeps of a job. It is written whole at each change;
-// the newest one counts.
+// Record is the stored state of a job. The whole record is written at each change
+// and replaces the previous one.
 type Record struct {
 	ID     ID
 	Spec   Spec
 	Policy Policy
 	State  State
-	// FirstEpoch is the shard's epoch at acceptance. Run numbers of later
-	// epochs are derived from the distance to it, so that they rise although
-	// an owner that died took its numbers with it.
+	// FirstEpoch is the shard's epoch when the job was accepted. Run numbers start
+	// at a value derived from the difference between the current epoch and this
+	// one. They increase even if an owner crashes, although the numbers that it
+	// used are not recorded.
 	FirstEpoch int64
-	// Tasks has what is settled for each task, in the order of steps.
+	// Tasks has the recorded state of each task, in the order of the steps.
 	Tasks []TaskRecord
-	// Failure says why a job failed, for its client.
+	// Failure is the reason why the job failed, as reported to its client.
 	Failure string
-	// Elapsed is the time from the acceptance to the end.
+	// Elapsed is the time from the acceptance of the job to its end.
 	Elapsed time.Duration
 }
 
-// TaskRecord is what is settled about one task.
+// TaskRecord is the recorded state of a task.
 type TaskRecord struct {
 	Done bool
-	// Failures counts runs that ended failed.
+	// Failures is the number of runs that failed.
 	Failures int
-	// Checkpoint is the newest saved progress.
+	// Checkpoint is the most recent checkpoint.
 	Checkpoint string
-	// Result is what the run that completed the task returned, and Work how
-	// long it was at work.
+	// Result is the result of the run that completed the task, and Work its
+	// execution time.
 	Result string
 	Work   time.Duration
-	// Crashes are the backend servers that were lost under runs of the task, as far as
-	// those may have brought it about. The slice is replaced, not written to.
+	// Crashes has the backend servers that were lost while they ran the task, except
+	// those whose loss is known to have another cause. Copies of the record share
+	// the slice: a change replaces it and never writes to its elements.
 	Crashes []Crash
 }
 
-// HasResults reports whether the tasks returned anything: whoever asks for
-// such a job later wants the results.
+// HasResults reports whether any task returned a result. If so, the task records
+// of an ended job have to be kept for later queries.
 func (r *Record) HasResults() bool {
 	for i := range r.Tasks {
 		if r.Tasks[i].Result != "" {
@@ -48,12 +50,13 @@
 	return false
 }
 
-// NewRecord returns the record of a job that was just accepted.
+// NewRecord returns the record of a newly accepted job. The epoch is the shard's
+// current one.
 func NewRecord(id ID, spec Spec, policy Policy, epoch int64) *Record {
 	return &Record{ID: id, Spec: spec, Policy: policy, FirstEpoch: epoch, Tasks: make([]TaskRecord, spec.Tasks())}
 }
 
-// Offset returns the place of a step's first task in Tasks.
+// Offset returns the index in Tasks of the first task of a step.
 func (r *Record) Offset(step int) int {
 	n := 0
 	for i := 0; i < step && i < len(r.Spec.Steps); i++ {
@@ -62,7 +65,8 @@
 	return n
 }
 
-// TaskAt names the task at a place in Tasks.
+// TaskAt returns the ID of the task at index n in Tasks, for the job with the given
+// ID.
 func (r *Record) TaskAt(id ID, n int) TaskID {
 	step := 0
 	for step < len(r.Spec.Steps) && n >= r.Spec.Steps[step].Count {
@@ -72,8 +76,7 @@
 	return TaskID{Job: id, Step: step, Index: n}
 }
 
-// Task returns the settled state of one task, or nil if the job has no such
-// task.
+// Task returns the recorded state of a task, or nil if the job has no such task.
 func (r *Record) Task(id TaskID) *TaskRecord {
 	if id.Step < 0 || id.Step >= len(r.Spec.Steps) || id.Index < 0 || id.Index >= r.Spec.Steps[id.Step].Count {
 		return nil
