--- a/state/routing/routing.go
+++ b/state/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing holds the operators' configuration in force: which requests
-// go to which queue, and what the queue's policy is.
+// Package routing defines the routing table: which requests go to which queue,
+// the policy of each queue, and the limits on requests.
 package routing
 
 import (
@@ -10,17 +10,19 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// Route leads requests of a host and a path prefix to a queue.
+// Route maps requests to a host and a path prefix to the policy of a queue.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Policy job.Policy
-	// Timeout bounds one request on this route; zero means no bound.
+	// Timeout is how long a client of this route waits for an answer if its request
+	// states no deadline. Zero means not known.
 	Timeout time.Duration
 }
 
-// Limits bound what one request may bring.
+// Limits holds the limits on the size of a request and on the time that a
+// connection may take to send its header or be idle.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -28,14 +30,15 @@
 	IdleTimeout    time.Duration
 }
 
-// Table is one version of the configuration. It is never changed once made.
+// Table is one version of the configuration. It is immutable.
 type Table struct {
 	Version int64
 	Routes  []Route
 	Limits  Limits
 }
 
-// Match returns the route with the longest prefix of a path on a host, or nil.
+// Match returns the route of a host whose prefix is the longest that matches the
+// path, or nil if none matches. Host names are compared without port and case.
 func (t *Table) Match(host, path string) *Route {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
