--- a/state/sliding/sliding.go
+++ b/state/sliding/sliding.go
@@ -1,29 +1,30 @@
-// Package sliding counts what has happened within the last span of time, whenever that span
-// begins. A count that starts anew with each period lets twice its bound pass around the
-// boundary of two.
+// Package sliding counts events in a sliding time window. A counter that is reset at fixed
+// intervals would let through up to twice its limit in a span across two intervals.
 package sliding
 
 import "time"
 
-// Window counts within the last Span. Its zero value with a Span is ready to use; it is not
-// safe for concurrent use.
+// Window counts the events within the last Span. A Window with a Span and otherwise zero is
+// ready to use. Times are passed in by the caller, relative to any fixed origin, and must not
+// decrease. A Window is not safe for concurrent use.
 type Window struct {
 	Span time.Duration
-	// Grain bounds the memory: what comes within it of an earlier event counts with that,
-	// until the last of them has left. Zero keeps each time.
+	// Grain limits memory use: events within this time of the first event of a group are
+	// counted as one group, which leaves the window when its last event does. Zero keeps the
+	// time of each event.
 	Grain time.Duration
 
 	events []event
 	sum    int
 }
 
-// event is what came from first to last.
+// event is a group of events that happened between first and last.
 type event struct {
 	first, last time.Duration
 	count       int
 }
 
-// Sum returns how many there were within the span before a time. Times don't go back.
+// Sum returns the number of events within the Span that ends at now.
 func (w *Window) Sum(now time.Duration) int {
 	gone := 0
 	for gone < len(w.events) && now-w.events[gone].last >= w.Span {
@@ -34,7 +35,7 @@
 	return w.sum
 }
 
-// Add counts some more.
+// Add counts further events at now.
 func (w *Window) Add(now time.Duration, count int) {
 	w.Sum(now)
 	w.sum += count
@@ -46,7 +47,8 @@
 	w.events = append(w.events, event{first: now, last: now, count: count})
 }
 
-// Wait returns how long it takes until no more than so many are left; zero: it is so now.
+// Wait returns the time from now until at most that many of the present events are left in
+// the window. Zero means that this is so already.
 func (w *Window) Wait(now time.Duration, most int) time.Duration {
 	left := w.Sum(now)
 	for _, e := range w.events {
@@ -61,7 +63,7 @@
 	return 0
 }
 
-// Forget takes back some of what came last.
+// Forget removes the given number of events, the latest first.
 func (w *Window) Forget(count int) {
 	for count > 0 && len(w.events) > 0 {
 		e := &w.events[len(w.events)-1]
--- a/state/sliding/sliding_test.go
+++ b/state/sliding/sliding_test.go
@@ -7,7 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against twice the bound within one span that begins in the middle of a period.
+// Guards against letting through up to twice the bound within one span. A counter that is
+// reset at fixed intervals does so in a span that begins in the middle of an interval.
 func TestNoSpanHasMoreThanItsBound(t *testing.T) {
 	is := is.New(t)
 	const bound = 10
@@ -33,7 +34,8 @@
 	}
 }
 
-// Guards against a wait after which there is still no room, or that is longer than needed.
+// Guards against a wait after which too many events are still in the window, and against one
+// that is longer than needed.
 func TestWaitIsTrue(t *testing.T) {
 	is := is.New(t)
 	w := Window{Span: time.Second}
@@ -46,7 +48,8 @@
 	is.Equal(w.Sum(now+500*time.Millisecond), 2)
 }
 
-// Guards against memory that grows with what happens.
+// Guards against memory use that grows with the number of events: at most 21 groups of 50 ms
+// fit into a span of 1 s.
 func TestGrainBoundsTheMemory(t *testing.T) {
 	is := is.New(t)
 	w := Window{Span: time.Second, Grain: 50 * time.Millisecond}
