--- a/state/settings/settings.go
+++ b/state/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings holds what a process is told about its place, and checks it.
+// Package settings reads and checks the settings file of a process.
 package settings
 
 import (
@@ -17,15 +17,17 @@
 	RoleAgent = "agent"
 )
 
-// Settings are what a process is told about its place. The file is JSON with
-// comments; unknown keys are refused.
+// Settings holds the settings of a process. The file is JSON with comments and
+// durations as strings such as "250ms". Unknown keys are errors.
 type Settings struct {
+	// Role is RoleEntry or RoleAgent.
 	Role string `json:"role"`
 	// Name is unique among the processes of a system.
 	Name string `json:"name"`
+	// Zone is the failure domain of the process.
 	Zone string `json:"zone"`
-	// Links is to how many agents a process keeps links, if there are as many; absent:
-	// to all. What a job needs beyond them is linked as it comes.
+	// Links is the number of agents that the process keeps connections to. Zero means
+	// all. If a job needs other agents, the process connects to them on demand.
 	Links int `json:"links"`
 
 	Listen Listen `json:"listen"`
@@ -35,25 +37,30 @@
 	Limits Limits `json:"limits"`
 }
 
-// Listen has the addresses a process serves, IP and port; empty: not served.
+// Listen holds the addresses that a process listens on, as IP and port. An empty
+// address is not served.
 type Listen struct {
-	// Clients and Ready are an entry's.
+	// Clients is the address for client requests, Ready the one for readiness
+	// probes. Both are for entries.
 	Clients string `json:"clients"`
 	Ready   string `json:"ready"`
-	// API is the project's own interface, an entry's, on loopback.
+	// API is the address of an entry for the project's own HTTP API. It has to be a
+	// loopback address.
 	API string `json:"api"`
-	// Reports takes the backend server's reports, Links the other processes.
+	// Reports is the address of an agent for the reports of its backend server,
+	// Links the one for connections from entries and other agents.
 	Reports string `json:"reports"`
 	Links   string `json:"links"`
-	// LinksAnnounced is where other processes reach Links, if that is another
-	// address, as behind a relay.
+	// LinksAnnounced is the address under which other processes reach Links, if it
+	// differs from Links, for example behind a relay.
 	LinksAnnounced string `json:"links_announced"`
 	Metrics        string `json:"metrics"`
-	// Profiles has the metrics address serve profiles of the process too.
+	// Profiles enables the profiling handlers on the metrics address.
 	Profiles bool `json:"profiles"`
 }
 
-// LinksAddress is the address that other processes are told.
+// LinksAddress returns the address that an agent registers for other processes to
+// connect to.
 func (l *Listen) LinksAddress() string {
 	if l.LinksAnnounced != "" {
 		return l.LinksAnnounced
@@ -61,37 +68,47 @@
 	return l.Links
 }
 
-// Store describe the platform's store.
+// Store holds the settings of the platform's store.
 type Store struct {
 	Address string `json:"address"`
-	// WritesPerSecond is what all processes together may write.
+	// WritesPerSecond is the limit on the write rate of all processes together.
 	WritesPerSecond float64 `json:"writes_per_second"`
-	// Topics of Partitions each hold the shards of jobs.
+	// Topics is the number of topics that hold the shards of jobs, and Partitions
+	// the number of partitions in each of them.
 	Topics     int `json:"topics"`
 	Partitions int `json:"partitions"`
-	// MinTTL is the shortest membership the store grants.
+	// MinTTL is the shortest group membership that the store grants.
 	MinTTL time.Duration `json:"min_ttl"`
 }
 
-// Server is where an agent's backend server takes calls.
+// Server holds the address on which an agent's backend server accepts calls.
 type Server struct {
 	Address string `json:"address"`
 }
 
-// Bounds are the platform's figures.
+// Bounds holds the timing parameters that the platform defines.
 type Bounds struct {
-	Lease        time.Duration `json:"lease"`
-	Grace        time.Duration `json:"grace"`
-	Retention    time.Duration `json:"retention"`
-	RemoteFactor float64       `json:"remote_factor"`
+	// Lease is how long a backend server runs a task without a renewal from its
+	// agent.
+	Lease time.Duration `json:"lease"`
+	// Grace is how long a process may take to shut down after a signal.
+	Grace time.Duration `json:"grace"`
+	// Retention is how long the result of an ended job has to be available at
+	// least.
+	Retention time.Duration `json:"retention"`
+	// RemoteFactor is the factor by which a task takes longer outside the rack that
+	// holds its input data.
+	RemoteFactor float64 `json:"remote_factor"`
 }
 
-// Limits bound the process.
+// Limits holds the resource limits of the process.
 type Limits struct {
+	// MemoryMB is the soft memory limit of the Go runtime in MiB. Zero means no
+	// limit.
 	MemoryMB int `json:"memory_mb"`
 }
 
-// Load reads and checks a settings file.
+// Load reads and checks the settings file at path.
 func Load(path string) (*Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -100,7 +117,8 @@
 	return Parse(path, b)
 }
 
-// Parse reads and checks settings. The name stands in errors.
+// Parse decodes and checks settings. Errors of the decoder contain the given file
+// name.
 func Parse(name string, b []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := strictjson.Decode(name, b, s); err != nil {
@@ -139,8 +157,9 @@
 	return nil
 }
 
-// checkAPI refuses addresses at which the interface would let nobody in, or could
-// be read on the way.
+// checkAPI reports an error if the API address is not a loopback address. Without
+// bearer tokens the API answers loopback clients only, and it is served without
+// encryption.
 func (l *Listen) checkAPI() error {
 	if l.API == "" {
 		return nil
@@ -155,5 +174,5 @@
 	return nil
 }
 
-// Shards is the number of shards that jobs are spread over.
+// Shards returns the number of shards that jobs are distributed over.
 func (s *Settings) Shards() int { return s.Store.Topics * s.Store.Partitions }
--- a/state/settings/settings_test.go
+++ b/state/settings/settings_test.go
@@ -15,8 +15,8 @@
   "bounds": {"lease": "1s", "grace": "8s", "retention": "1m", "remote_factor": 1.2},
 }`
 
-// A process that starts with half its settings would serve wrongly for as long
-// as nobody looks: each fault is named, with its key.
+// Guards against a process that starts with missing or invalid settings and
+// misbehaves until somebody notices. Each error has to name the key at fault.
 func TestFaultsAreNamed(t *testing.T) {
 	is := is.New(t)
 	s, err := Parse("entry.json", []byte(entry))
@@ -39,7 +39,7 @@
 	}
 }
 
-// The page of settings lists every key that the file may have.
+// Guards against a setting that is missing from the settings page.
 func TestEveryKeyIsOnThePage(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
