--- a/state/strictjson/decoder.go
+++ b/state/strictjson/decoder.go
@@ -16,7 +16,7 @@
 	unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 )
 
-// decoder walks the parsed file and the target side by side.
+// decoder decodes a parsed file into a Go value and collects all errors.
 type decoder struct {
 	doc  *Document
 	errs Errors
@@ -34,7 +34,7 @@
 	case target.Type() == rawType:
 		target.SetBytes(standard(v))
 	case v.Value.Kind() == 'n':
-		d.fail(key, v, "null is not a value: leave the key out instead")
+		d.fail(key, v, "null is not allowed: omit the key instead")
 	case target.Kind() == reflect.Pointer:
 		if target.IsNil() {
 			target.Set(reflect.New(target.Type().Elem()))
@@ -98,9 +98,9 @@
 	target.Set(out)
 }
 
-// members visits each member once. Of two members with one name the standard
-// decoder silently keeps the last, so that a reader who sees the first one is
-// misled: here the second is a fault.
+// members calls visit for the first member of each name. Of two members with the
+// same name encoding/json silently keeps the last one, which misleads a reader
+// who sees the first; here the second one is an error.
 func (d *decoder) members(key string, obj *hujson.Object, visit func(name, path string, m *hujson.ObjectMember)) {
 	seen := make(map[string]int, len(obj.Members))
 	for i := range obj.Members {
@@ -109,7 +109,7 @@
 		path := join(key, name)
 		line := d.doc.lineAt(m.Name.StartOffset)
 		if first, twice := seen[name]; twice {
-			d.fail(path, &m.Name, "key stands twice, first in line %d", first)
+			d.fail(path, &m.Name, "duplicate key, first on line %d", first)
 			continue
 		}
 		seen[name] = line
@@ -136,7 +136,7 @@
 	d.fail(key, v, `must be a duration such as "250ms" or "5s", is %s`, found(v))
 }
 
-// standard returns the value as plain JSON, without comments.
+// standard returns the value as standard JSON without comments and white space.
 func standard(v *hujson.Value) []byte {
 	plain := v.Clone()
 	plain.Minimize()
@@ -150,7 +150,7 @@
 	return key + "." + name
 }
 
-// fieldsOf maps the JSON names of a struct to its field indexes.
+// fieldsOf maps the JSON names of the fields of a struct to their indexes.
 func fieldsOf(t reflect.Type) map[string]int {
 	fields := make(map[string]int, t.NumField())
 	for i := range t.NumField() {
@@ -167,7 +167,8 @@
 	return fields
 }
 
-// suggestion names a known key that differs in case only.
+// suggestion returns a hint that names the known key which differs from name only
+// in case, or an empty string if there is none.
 func suggestion(name string, fields map[string]int) string {
 	for known := range fields {
 		if strings.EqualFold(known, name) {
--- a/state/strictjson/depth.go
+++ b/state/strictjson/depth.go
@@ -2,8 +2,9 @@
 
 import "bytes"
 
-// tooDeep finds the first bracket that nests deeper than MaxDepth. It skips
-// strings and comments and leaves every other fault to the parser.
+// tooDeep reports whether src nests deeper than MaxDepth, and the offset of the
+// first bracket that does. It skips strings and comments and leaves all syntax
+// errors to the parser.
 func tooDeep(src []byte) (offset int, deep bool) {
 	depth := 0
 	for i := 0; i < len(src); {
@@ -27,7 +28,8 @@
 	return 0, false
 }
 
-// stringLength returns the length of the string literal that src starts with.
+// stringLength returns the length in bytes of the string literal at the start of
+// src, or of all of src if the literal does not end.
 func stringLength(src []byte) int {
 	for i := 1; i < len(src); i++ {
 		switch src[i] {
@@ -40,8 +42,8 @@
 	return len(src)
 }
 
-// commentLength returns the length of the comment that src starts with, or 1
-// if it is none.
+// commentLength returns the length in bytes of the comment at the start of src, or
+// 1 if src does not start with a comment.
 func commentLength(src []byte) int {
 	end := []byte(nil)
 	switch {
--- a/state/strictjson/document.go
+++ b/state/strictjson/document.go
@@ -1,10 +1,10 @@
-// Package strictjson decodes JSON with comments into Go structs and says of
-// each fault where it stands: file, line and key. It refuses what the standard
-// decoder lets through: unknown keys, keys that stand twice, keys in another
-// case, null, and text that is not UTF-8. It reports every fault of a file at
-// once, so that a person mends the file in one go.
+// Package strictjson decodes JSON with comments into Go structs and reports each
+// error with its file, line and key. It rejects input that encoding/json accepts:
+// unknown keys, duplicate keys, keys in a different case, null, and text that is
+// not valid UTF-8. It reports all errors of a file at once, so that they can be
+// corrected together.
 //
-// The parser is hujson's. Durations are written as strings, such as "250ms".
+// Files are parsed with hujson. Durations are strings such as "250ms".
 package strictjson
 
 import (
@@ -17,36 +17,40 @@
 	"github.com/tailscale/hujson"
 )
 
-// MaxDepth bounds how deep objects and arrays may nest. The parser recurses: a
-// file of a million open brackets would exhaust the stack, which ends a Go
-// process whatever handlers it has. The check runs before the parser.
+// MaxDepth is the deepest nesting of objects and arrays, in levels. The parser is
+// recursive: a file of a million open brackets would exhaust the stack, which
+// ends a Go process and can't be recovered from. The depth is therefore checked
+// before parsing.
 const MaxDepth = 64
 
-// Document remembers where each key of a decoded file stands, so that faults
-// found after decoding (a value out of range) are reported like all others.
+// Document holds the line of each key of a decoded file, so that errors found
+// after decoding, such as a value out of range, are reported like decoding
+// errors.
 type Document struct {
 	file string
 	src  []byte
-	// breaks are the offsets of the line ends, so that finding a line does not
-	// read the file from its start for each of its values.
+	// breaks has the offsets of all newlines in ascending order, so that the line of
+	// a value is found without reading the file from its start.
 	breaks []int
-	lines  map[string]int
+	// lines has the line of each key path.
+	lines map[string]int
 }
 
-// Decode decodes src into the struct that v points to. Fields that src does not
-// name keep their values, so defaults can be set beforehand. Every error is of
-// type Errors. After an error v is partly filled and must not be used.
+// Decode decodes src into the struct that v points to. Fields whose keys are not in
+// src keep their values, so defaults can be set beforehand. The name is the file
+// name in errors. Every error is of type Errors. After an error v may be partly
+// decoded and must not be used.
 func Decode(name string, src []byte, v any) error {
 	_, err := DecodeDocument(name, src, v)
 	return err
 }
 
-// DecodeDocument is Decode for callers that check values afterwards. The
-// document is valid also beside an error.
+// DecodeDocument is Decode for callers that check the decoded values. The document
+// is valid even if there is an error.
 func DecodeDocument(name string, src []byte, v any) (*Document, error) {
 	target := reflect.ValueOf(v)
 	if target.Kind() != reflect.Pointer || target.IsNil() {
-		panic("strictjson: v must be a pointer that is not nil")
+		panic("strictjson: v must be a non-nil pointer")
 	}
 	doc := &Document{file: name, src: src, breaks: lineBreaks(src), lines: make(map[string]int)}
 	root, fault := doc.parse()
@@ -58,14 +62,14 @@
 	return doc, d.errs.Err()
 }
 
-// Has tells whether the file names the key.
+// Has reports whether the file contains the key.
 func (d *Document) Has(key string) bool {
 	_, ok := d.lines[key]
 	return ok
 }
 
-// Errorf returns a fault of the value at key. A key that the file leaves out is
-// reported at the line of the nearest enclosing one that it has.
+// Errorf returns an error for the value at key. If the file does not contain the
+// key, the error has the line of the innermost enclosing key that it contains.
 func (d *Document) Errorf(key, format string, args ...any) *FieldError {
 	return &FieldError{File: d.file, Line: d.line(key), Key: key, Msg: fmt.Sprintf(format, args...)}
 }
@@ -79,7 +83,7 @@
 	return max(d.lines[""], 1)
 }
 
-// parent cuts the last step off a key path.
+// parent returns the key path without its last element.
 func parent(key string) string {
 	return key[:max(strings.LastIndexAny(key, ".["), 0)]
 }
@@ -116,7 +120,8 @@
 	return &root, nil
 }
 
-// syntaxFault takes the line out of the parser's message, its only place.
+// syntaxFault converts an error of the parser, taking the line from its message.
+// The parser reports it nowhere else.
 func (d *Document) syntaxFault(err error) *FieldError {
 	msg := err.Error()
 	var line, column int
--- a/state/strictjson/errors.go
+++ b/state/strictjson/errors.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// FieldError is one fault in a file, with the place where a person can mend it.
+// FieldError is an error at a place in a file.
 type FieldError struct {
 	// File is the name given to Decode.
 	File string
 	// Line counts from 1.
 	Line int
 	// Key is the path of the value, such as tls.cert or services[2].name. It is
-	// empty for a fault of the file as a whole.
+	// empty for an error of the file as a whole.
 	Key string
-	// Msg says what is wrong and what would be right.
+	// Msg describes the error and, where possible, what is valid instead.
 	Msg string
 }
 
-// Error returns the fault in the form file:line: key: message.
+// Error returns the error in the form file:line: key: message.
 func (e *FieldError) Error() string {
 	if e.Key == "" {
 		return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Msg)
@@ -27,10 +27,10 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Key, e.Msg)
 }
 
-// Errors is every fault found in one file, by line.
+// Errors has all errors found in one file, sorted by line.
 type Errors []*FieldError
 
-// Error returns one line per fault.
+// Error returns one line per error.
 func (es Errors) Error() string {
 	lines := make([]string, len(es))
 	for i, e := range es {
@@ -39,7 +39,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the faults in the order of their lines, or nil if there are none.
+// Err sorts the errors by line and returns them, or nil if there are none.
 func (es Errors) Err() error {
 	if len(es) == 0 {
 		return nil
--- a/state/strictjson/fuzz_test.go
+++ b/state/strictjson/fuzz_test.go
@@ -8,9 +8,9 @@
 	"github.com/tailscale/hujson"
 )
 
-// Whatever a file holds, decoding ends without a panic, each fault stands at a
-// line that the file has, and a file that is taken means the same to the parser
-// without its comments.
+// Checks for any input that decoding does not panic, that each error has a message
+// and a line within the file, and that a file which is accepted is accepted
+// without its comments too.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"name": "a", /* c */ "tls": {"port": 1,}}`))
 	f.Fuzz(func(t *testing.T, src []byte) {
@@ -21,15 +21,15 @@
 			return
 		}
 		if !doc.Has("") {
-			t.Fatal("a file was taken that has no value")
+			t.Fatal("accepted a file without a value")
 		}
 		plain, err := hujson.Standardize(bytes.Clone(src))
 		if err != nil {
-			t.Fatalf("taken, and the parser says %v", err)
+			t.Fatalf("accepted, but the parser failed: %v", err)
 		}
 		var again sample
 		if err := Decode("f.json", plain, &again); err != nil {
-			t.Fatalf("taken with comments and not without: %v", err)
+			t.Fatalf("accepted with comments, but not without: %v", err)
 		}
 	})
 }
@@ -37,12 +37,12 @@
 func checkFaults(t *testing.T, src []byte, err error) {
 	var faults Errors
 	if !errors.As(err, &faults) || len(faults) == 0 {
-		t.Fatalf("the error is none of Errors: %v", err)
+		t.Fatalf("the error is not of type Errors or is empty: %v", err)
 	}
 	lines := 1 + bytes.Count(src, []byte("\n"))
 	for _, fault := range faults {
 		if fault.Line < 1 || fault.Line > lines || fault.Msg == "" {
-			t.Fatalf("a fault at line %d of %d: %q", fault.Line, lines, fault.Msg)
+			t.Fatalf("error at line %d of %d: %q", fault.Line, lines, fault.Msg)
 		}
 	}
 }
--- a/state/strictjson/kinds.go
+++ b/state/strictjson/kinds.go
@@ -7,10 +7,11 @@
 	"github.com/tailscale/hujson"
 )
 
-// maxQuoted bounds how much of a wrong value a message repeats, in bytes.
+// maxQuoted is the longest part of an invalid value in an error message, in bytes.
 const maxQuoted = 40
 
-// wanted names what a Go type accepts, in the words of JSON.
+// wanted returns a description of the JSON values that decode into a Go type, for
+// error messages.
 func wanted(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Struct, reflect.Map:
@@ -24,15 +25,15 @@
 	case reflect.Float32, reflect.Float64:
 		return "a number"
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		return fmt.Sprintf("an integer from 0 of at most %d bits", t.Bits())
+		return fmt.Sprintf("a non-negative integer of at most %d bits", t.Bits())
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
 		return fmt.Sprintf("an integer of at most %d bits", t.Bits())
 	default:
-		panic(fmt.Sprintf("strictjson: no decoding into %v", t))
+		panic(fmt.Sprintf("strictjson: cannot decode into a Go value of type %v", t))
 	}
 }
 
-// found names the value that stands in the file.
+// found returns a description of a value in the file, for error messages.
 func found(v *hujson.Value) string {
 	switch v.Value.Kind() {
 	case '{':
--- a/state/strictjson/strictjson_test.go
+++ b/state/strictjson/strictjson_test.go
@@ -46,8 +46,8 @@
 	is.Equal(v.Limits["x"], time.Second)
 }
 
-// An operator sees every fault of a file at once, each with its line and key:
-// one of each kind stands in this file, and none hides another.
+// Guards against an error that hides another one in the same file: the file has one
+// error of each kind, and each has to be reported with its line and key.
 func TestDecodeReportsAllFaultsWithLineAndKey(t *testing.T) {
 	is := is.New(t)
 	src := `{
@@ -69,21 +69,21 @@
 		`s.json:3: Slots: unknown key, write "slots"`,
 		`s.json:4: share: must be a number, is the string "much"`,
 		`s.json:5: wait: must be a duration such as "250ms" or "5s", is 250`,
-		`s.json:6: tls.cert: key stands twice, first in line 6`,
-		`s.json:6: tls.port: must be an integer from 0 of at most 16 bits, is 70000`,
-		`s.json:8: hosts[1].port: must be an integer from 0 of at most 16 bits, is -1`,
+		`s.json:6: tls.cert: duplicate key, first on line 6`,
+		`s.json:6: tls.port: must be a non-negative integer of at most 16 bits, is 70000`,
+		`s.json:8: hosts[1].port: must be a non-negative integer of at most 16 bits, is -1`,
 		`s.json:8: hosts[1].prot: unknown key`,
 		`s.json:9: quotas: must be an object, is an array`,
-		`s.json:10: name: key stands twice, first in line 2`,
-		`s.json:12: slots: null is not a value: leave the key out instead`,
+		`s.json:10: name: duplicate key, first on line 2`,
+		`s.json:12: slots: null is not allowed: omit the key instead`,
 	}
 	is.True(err != nil)
 	is.Equal(strings.Split(err.Error(), "\n"), want)
 }
 
-// A broken or hostile file must end in a report and never in a crash: a million
-// open brackets would exhaust the stack of the recursive parser, which no
-// handler can catch. Brackets in strings and comments do not count.
+// Guards against a malformed or malicious file that crashes the process: a million
+// open brackets would exhaust the stack of the recursive parser, which can't be
+// recovered from. Brackets in strings and comments don't count as nesting.
 func TestDecodeSurvivesBrokenFiles(t *testing.T) {
 	is := is.New(t)
 	cases := map[string]string{
