--- a/state/declaration/checker.go
+++ b/state/declaration/checker.go
@@ -10,19 +10,20 @@
 	"github.com/shallotstep/shallotstep/state/strictjson"
 )
 
-// maxFaults bounds how many faults of one file are reported.
+// maxFaults is the largest number of errors that is reported for a file.
 const maxFaults = 20
 
-// checker collects the faults of decoded values. A key whose decoding failed
-// already gets no second fault: its value is only what decoding left there.
+// checker converts a decoded file and collects the errors of its values.
 type checker struct {
-	doc    *strictjson.Document
-	errs   strictjson.Errors
+	doc  *strictjson.Document
+	errs strictjson.Errors
+	// faulty has the keys that could not be decoded. Their values are not those of
+	// the file, so that no further errors are reported for them.
 	faulty map[string]bool
 }
 
-// addDecoding takes over the faults of decoding. It reports whether there is
-// anything left to check, which there isn't after a syntax error.
+// addDecoding adds the errors of decoding. It reports whether there are values to
+// check, which is not the case after a syntax error.
 func (c *checker) addDecoding(err error) bool {
 	var faults strictjson.Errors
 	if !errors.As(err, &faults) || !c.doc.Has("") {
@@ -36,8 +37,8 @@
 	return true
 }
 
-// report returns the faults by line, the first maxFaults of them: they travel to
-// the operator and stay in the history.
+// report returns the first maxFaults errors by line and the number of those left
+// out. The limit bounds the size of the response to the operator.
 func (c *checker) report() error {
 	err := c.errs.Err()
 	if len(c.errs) <= maxFaults {
@@ -45,7 +46,7 @@
 	}
 	left := len(c.errs) - maxFaults
 	last := c.errs[maxFaults-1]
-	more := &strictjson.FieldError{File: last.File, Line: last.Line, Msg: fmt.Sprintf("and %d more faults", left)}
+	more := &strictjson.FieldError{File: last.File, Line: last.Line, Msg: fmt.Sprintf("and %d more errors", left)}
 	return append(c.errs[:maxFaults:maxFaults], more)
 }
 
@@ -65,7 +66,7 @@
 
 func (c *checker) atMost(key string, n, limit int) {
 	if n > limit {
-		c.failf(key, "%d names are more than %d", n, limit)
+		c.failf(key, "%d names exceed the limit of %d", n, limit)
 	}
 }
 
@@ -77,7 +78,7 @@
 	return v
 }
 
-// optional checks a number that may be left out.
+// optional checks an optional number. It returns fallback if the key is missing.
 func (c *checker) optional(key string, v, low, high, fallback int64) int64 {
 	if !c.doc.Has(key) {
 		return fallback
@@ -102,21 +103,21 @@
 		return DefaultCores
 	}
 	if v <= 0 || v > MaxCores {
-		c.failf(key, "%v is outside 0 to %d", v, MaxCores)
+		c.failf(key, "have %v, want more than 0 and at most %d", v, MaxCores)
 	}
 	return v
 }
 
-// name checks the name of an operator, service, region or domain.
+// name checks the required name of an operator, service, region or failure domain.
 func (c *checker) name(key, s string) string {
 	if c.required(key) && !ValidName(s) {
-		c.failf(key, "%q is not a name: want 1 to %d of a-z, 0-9, '-', '_', '.', the first a letter or digit",
+		c.failf(key, "%q is not a valid name: want 1 to %d characters of a-z, 0-9, '-', '_', '.', the first a letter or digit",
 			s, state.MaxIDLength)
 	}
 	return s
 }
 
-// rack checks "domain/rack".
+// rack checks the name of a rack in the form "domain/rack".
 func (c *checker) rack(key, s string) {
 	if !validRack(s) {
 		c.failf(key, "want \"domain/rack\", have %q", s)
--- a/state/declaration/doc.go
+++ b/state/declaration/doc.go
@@ -1,4 +1,4 @@
-// Package declaration holds the file in which an operator declares its services:
-// its format and its checks. A file is the whole truth of one operator; what it
-// leaves out is not declared.
+// Package declaration defines the format of the file in which an operator declares
+// its services, and checks it. A file has all services of one operator and
+// replaces the previous file as a whole.
 package declaration
--- a/state/declaration/file.go
+++ b/state/declaration/file.go
@@ -6,28 +6,30 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// Limits on a declaration. They bound what 280 operators can make every daemon
-// keep in memory.
+// Limits on a declaration. They bound the memory that every process needs for the
+// declarations of all operators, 280 of them.
 const (
-	// MaxFileBytes is the largest file.
+	// MaxFileBytes is the largest file, in bytes.
 	MaxFileBytes = 64 << 10
-	// MaxServices is the most services in one file.
+	// MaxServices is the largest number of services in one file.
 	MaxServices = 256
-	// MaxOwnedServices is the most names one operator may own, including those
-	// that its present file no longer declares.
+	// MaxOwnedServices is the largest number of service names that an operator may
+	// own, including those that its current file no longer declares.
 	MaxOwnedServices = 1024
-	// MaxPlacementNames is the most domains or racks in one placement.
+	// MaxPlacementNames is the largest number of failure domains or of racks in one
+	// placement.
 	MaxPlacementNames = 64
 	// MaxPriority is the highest priority; 1 is the lowest.
 	MaxPriority = 100
-	// MaxTasksInFlight and MaxTasksPerSecond are the largest quota.
+	// MaxTasksInFlight and MaxTasksPerSecond are the largest values of a quota.
 	MaxTasksInFlight  = 1_000_000
 	MaxTasksPerSecond = 1_000_000
-	// MaxCores, MaxMemoryMB and MaxAccelerators are the largest task.
+	// MaxCores, MaxMemoryMB and MaxAccelerators are the largest resource demand of a
+	// task.
 	MaxCores        = 1024
 	MaxMemoryMB     = 16 << 20
 	MaxAccelerators = 64
-	// MaxExpected is the longest run time a task may be declared with.
+	// MaxExpected is the longest expected run time of a task.
 	MaxExpected = 10 * time.Minute
 	// MaxDeadline is the longest default deadline.
 	MaxDeadline = time.Hour
@@ -42,20 +44,22 @@
 	DefaultExpected = 500 * time.Millisecond
 )
 
-// File is one operator's whole declaration.
+// File is the complete declaration of one operator.
 type File struct {
 	Operator string
-	// Priority weighs the operator's share under load, from 1 to MaxPriority.
+	// Priority is the priority of the operator's jobs under load, from 1 (lowest) to
+	// MaxPriority.
 	Priority int
 	Quota    Quota
 	Services []ServiceSpec
 }
 
-// Quota bounds what an operator may have at once, over all its services.
+// Quota limits the tasks of an operator, over all its services.
 type Quota struct {
-	// TasksInFlight is how many accepted tasks may be unanswered.
+	// TasksInFlight is the largest number of accepted tasks that are not yet
+	// answered.
 	TasksInFlight int
-	// TasksPerSecond is how many tasks are accepted per second.
+	// TasksPerSecond is the largest number of tasks accepted per second.
 	TasksPerSecond int
 }
 
@@ -64,18 +68,19 @@
 	Name string
 	// Region is where the service runs. It is fixed at creation.
 	Region string
-	// Task is assumed of a task that doesn't say otherwise.
+	// Task has the defaults for values that a submitted task omits.
 	Task TaskDefaults
-	// MaxTasks bounds the tasks of one job.
+	// MaxTasks is the largest number of tasks in one job.
 	MaxTasks int
-	// Deadline is assumed of a submission without one.
+	// Deadline is the default for submissions without a deadline.
 	Deadline time.Duration
-	// Repeatable is assumed of a request that doesn't say.
+	// Repeatable is the default for submissions that don't state whether they are
+	// repeatable.
 	Repeatable bool
 	Placement  Placement
 }
 
-// TaskDefaults is the size and run time assumed of a task.
+// TaskDefaults holds the default resource demand and run time of a task.
 type TaskDefaults struct {
 	Cores        float64
 	MemoryMB     int64
@@ -83,15 +88,16 @@
 	Expected     time.Duration
 }
 
-// Placement restricts where tasks run. Empty lists restrict nothing.
+// Placement restricts where tasks run. An empty list is no restriction.
 type Placement struct {
-	// Domains are failure domains of the service's region.
+	// Domains are failure domains in the service's region.
 	Domains []string
-	// Racks are "domain/rack", because rack names repeat between domains.
+	// Racks are racks in the form "domain/rack", because rack names are unique only
+	// within a failure domain.
 	Racks []string
 }
 
-// Apply fills what a submitted task leaves out.
+// Apply sets the values that a submitted task omits to the defaults.
 func (d *TaskDefaults) Apply(t *state.Task) {
 	if t.Cores == 0 {
 		t.Cores = d.Cores
--- a/state/declaration/fuzz_test.go
+++ b/state/declaration/fuzz_test.go
@@ -8,15 +8,16 @@
 	"github.com/shallotstep/shallotstep/state/strictjson"
 )
 
-// Whatever an operator hands in, parsing ends without a panic, and a file that is
-// taken is within the limits that every daemon's memory rests on.
+// Checks for any input that parsing does not panic, that errors are of type Errors
+// and limited in number, and that an accepted file keeps the limits that bound the
+// memory of every process.
 func FuzzParse(f *testing.F) {
 	f.Fuzz(func(t *testing.T, src []byte) {
 		file, err := Parse("f.json", src)
 		if err != nil {
 			var faults strictjson.Errors
 			if !errors.As(err, &faults) || len(faults) == 0 || len(faults) > maxFaults+1 {
-				t.Fatalf("the error is none of Errors, or too long: %v", err)
+				t.Fatalf("the error is not of type Errors, is empty or has too many entries: %v", err)
 			}
 			return
 		}
@@ -34,15 +35,15 @@
 	names := make(map[string]bool)
 	for _, s := range file.Services {
 		if !ValidName(s.Name) || !ValidName(s.Region) || names[s.Name] {
-			t.Fatalf("service %q in region %q, twice %t", s.Name, s.Region, names[s.Name])
+			t.Fatalf("service %q in region %q, duplicate: %t", s.Name, s.Region, names[s.Name])
 		}
 		names[s.Name] = true
-		// The negations catch NaN.
+		// The negated comparisons fail for NaN too.
 		if !(s.Task.Cores > 0) || !(s.Task.Cores <= MaxCores) || s.Task.MemoryMB < 1 || s.Task.Expected <= 0 {
 			t.Fatalf("task %+v", s.Task)
 		}
 		if s.MaxTasks < 1 || s.MaxTasks > state.MaxTasksPerJob || s.Deadline <= 0 || s.Deadline > MaxDeadline {
-			t.Fatalf("at most %d tasks, deadline %v", s.MaxTasks, s.Deadline)
+			t.Fatalf("max tasks %d, deadline %v", s.MaxTasks, s.Deadline)
 		}
 		if len(s.Placement.Domains) > MaxPlacementNames || len(s.Placement.Racks) > MaxPlacementNames {
 			t.Fatalf("placement %+v", s.Placement)
--- a/state/declaration/parse.go
+++ b/state/declaration/parse.go
@@ -9,8 +9,8 @@
 	"github.com/shallotstep/shallotstep/state/strictjson"
 )
 
-// The file as it is written. Optional numbers are checked only where the file
-// names them; otherwise their defaults stand.
+// The JSON form of a file. Optional numbers are checked only if the file contains
+// them; otherwise the defaults apply.
 type (
 	fileJSON struct {
 		Operator string        `json:"operator"`
@@ -43,16 +43,17 @@
 	}
 )
 
-// Parse reads and checks one operator's file: JSON with comments and trailing
-// commas. The name stands in errors. The error is a strictjson.Errors with
-// every fault found.
+// Parse decodes and checks the file of one operator, which is JSON with comments
+// and trailing commas. The name is the file name in errors. The error is of type
+// strictjson.Errors and has all errors found, up to a limit.
 //
-// All nodes must find the same files valid, for they judge apply records by it:
-// a rule that gets stricter would make old and new nodes disagree on what is in
-// force while they are being replaced.
+// All processes must accept the same files, because each of them parses the
+// declarations in the store again: if a rule became stricter, old and new
+// processes would disagree during a rolling upgrade on which declarations are in
+// force.
 func Parse(name string, src []byte) (*File, error) {
 	if len(src) > MaxFileBytes {
-		msg := fmt.Sprintf("file of %d bytes is larger than %d", len(src), MaxFileBytes)
+		msg := fmt.Sprintf("the file has %d bytes, which exceeds the limit of %d", len(src), MaxFileBytes)
 		return nil, strictjson.Errors{{File: name, Line: 1, Msg: msg}}
 	}
 	var in fileJSON
@@ -79,7 +80,7 @@
 	}
 	c.required("services")
 	if len(in.Services) > MaxServices {
-		c.failf("services", "%d services are more than %d", len(in.Services), MaxServices)
+		c.failf("services", "%d services exceed the limit of %d", len(in.Services), MaxServices)
 		return f
 	}
 	f.Services = c.services(in.Services)
@@ -93,7 +94,7 @@
 		key := fmt.Sprintf("services[%d]", i)
 		s := c.service(key, &in[i])
 		if names[s.Name] {
-			c.failf(key+".name", "service %q stands twice", s.Name)
+			c.failf(key+".name", "duplicate service %q", s.Name)
 		}
 		names[s.Name] = true
 		out = append(out, s)
@@ -134,8 +135,9 @@
 	return Placement{Domains: in.Domains, Racks: in.Racks}
 }
 
-// ValidName reports whether s can name an operator, service, region, failure
-// domain or rack. Names stand in URLs, metric labels and stream records.
+// ValidName reports whether s is a valid name of an operator, service, region,
+// failure domain or rack. Names are used in URLs, metric labels and stored
+// records.
 func ValidName(s string) bool {
 	if s == "" || len(s) > state.MaxIDLength {
 		return false
--- a/state/declaration/parse_test.go
+++ b/state/declaration/parse_test.go
@@ -28,8 +28,9 @@
 	is.Equal(f.Services[0].Task.Expected, 150*time.Millisecond)
 }
 
-// The operator sees every fault of the file in one run, each with its line and
-// key: a misspelt quota that was skipped would leave the team without a limit.
+// Guards against errors that are skipped or hide one another: a misspelt quota that
+// was ignored would leave the operator without a limit. All errors have to be
+// reported at once, each with its line and key.
 func TestParseReportsEveryFault(t *testing.T) {
 	is := is.New(t)
 	src := `// a comment
@@ -51,20 +52,20 @@
 	_, err := Parse("gridlog.json", []byte(src))
 	is.True(err != nil)
 	want := []string{
-		`gridlog.json:3: operator: "grid log" is not a name`,
+		`gridlog.json:3: operator: "grid log" is not a valid name`,
 		`gridlog.json:4: priority: must be an integer of at most 64 bits, is the string "high"`,
 		`gridlog.json:5: quota.tasks_in_flight: must be an integer of at most 64 bits, is 10.5`,
 		`gridlog.json:5: quota.tasks_per_second: 0 is outside 1 to 1000000`,
 		`gridlog.json:10: services[0].quoat: unknown key`,
-		`gridlog.json:11: services[0].name: key stands twice, first in line 8`,
+		`gridlog.json:11: services[0].name: duplicate key, first on line 8`,
 		`gridlog.json:12: services[0].placement.racks[0]: want "domain/rack", have "r1"`,
 		`gridlog.json:14: services[1].region: key is missing`,
-		`gridlog.json:14: services[1].name: service "yard-logbook" stands twice`,
+		`gridlog.json:14: services[1].name: duplicate service "yard-logbook"`,
 	}
 	got := strings.Split(err.Error(), "\n")
 	is.Equal(len(got), len(want))
 	for i := range want {
-		is.True(strings.HasPrefix(got[i], want[i])) // same fault at the same place
+		is.True(strings.HasPrefix(got[i], want[i])) // same error at the same place
 	}
 }
 
