--- a/state/settings/settings.go
+++ b/state/settings/settings.go
@@ -88,8 +88,8 @@
 
 // Bounds holds the timing parameters that the platform defines.
 type Bounds struct {
-	// Lease is how long a backend server runs a task without a renewal from its
-	// agent.
+	// Lease is the longest lease that a backend server grants for its runs. A run
+	// whose lease is not renewed in time is killed.
 	Lease time.Duration `json:"lease"`
 	// Grace is how long a process may take to shut down after a signal.
 	Grace time.Duration `json:"grace"`
