--- a/coordination/load/mix_test.go
+++ b/coordination/load/mix_test.go
@@ -168,8 +168,8 @@
 		return
 	}
 	c := r.class
-	spec := job.Spec{BestEffort: true, Patience: left, Steps: []job.Step{r.step}}
-	policy := job.Policy{Queue: c.queue, Service: service, Priority: c.priority, MaxAttempts: 3, Slack: slackFactor, Target: target, TimeLimit: shortestLimit}
+	spec := job.Spec{BestEffort: true, ClientTimeout: left, Steps: []job.Step{r.step}}
+	policy := job.Policy{Queue: c.queue, Service: service, Priority: c.priority, MaxAttempts: 3, Slack: slackFactor, Target: target, RequestTimeout: shortestLimit}
 	r.entry = e
 	life := e.life
 	e.apply(e.Submit(w.now, r.id, spec, policy, func(v owner.Verdict) {
--- a/coordination/model/client_test.go
+++ b/coordination/model/client_test.go
@@ -75,7 +75,7 @@
 	}
 	answered := false
 	o.run(func() {
-		p := job.Policy{Queue: "q", Service: "desk", MaxAttempts: 3, Once: j.once, Slack: 1, Target: time.Hour}
+		p := job.Policy{Queue: "q", Service: "desk", MaxAttempts: 3, AtMostOnce: j.once, Slack: 1, Target: time.Hour}
 		if j.once {
 			p.MaxAttempts = 1
 		}
--- a/coordination/owner/admission.go
+++ b/coordination/owner/admission.go
@@ -46,7 +46,7 @@
 	}
 	objective := s.objective(spec, p)
 	chain := s.chain(spec, p)
-	waited := s.waitedLocked(p, spec.Patience)
+	waited := s.waitedLocked(p, spec.ClientTimeout)
 	a := admission{objective: objective, due: objective - waited, useful: s.usefulFor(spec, objective) - waited, waited: waited}
 	for i := range spec.Steps {
 		n := s.need(p, &spec.Steps[i])
@@ -67,7 +67,7 @@
 	if waited > 0 && a.useful < chain && idle {
 		// It is of no use by the users' figure, but its client still waits, and there
 		// is room.
-		a.useful = spec.Patience
+		a.useful = spec.ClientTimeout
 	}
 	if a.late = s.lateEndLocked(now, spec, p, a.wait+chain, a.useful); !s.worthLate(a.late, a.useful) {
 		a.reason, a.retryAfter = ReasonOverload, a.wait-max(a.limit, 0)
@@ -112,8 +112,8 @@
 		return 0
 	}
 	useful := time.Duration(s.fleet.params.LateFactor * float64(objective))
-	if spec.Patience > 0 {
-		useful = min(useful, spec.Patience)
+	if spec.ClientTimeout > 0 {
+		useful = min(useful, spec.ClientTimeout)
 	}
 	return useful
 }
--- a/coordination/owner/admission_test.go
+++ b/coordination/owner/admission_test.go
@@ -44,10 +44,10 @@
 // send submits a job of one-core tasks of 100 ms: its objective is 220 ms, and an
 // answer is of use for 660 ms.
 func (e *effort) send(id job.ID, tasks int, patience time.Duration) *Verdict {
-	spec := job.Spec{BestEffort: true, Patience: patience, Steps: []job.Step{{
+	spec := job.Spec{BestEffort: true, ClientTimeout: patience, Steps: []job.Step{{
 		Count: tasks, Demand: job.Demand{CPUMillis: 1000}, Estimate: 100 * time.Millisecond,
 	}}}
-	p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 2, Slack: 1.6, Target: 60 * time.Millisecond, TimeLimit: 1500 * time.Millisecond}
+	p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 2, Slack: 1.6, Target: 60 * time.Millisecond, RequestTimeout: 1500 * time.Millisecond}
 	got := &Verdict{Outcome: Unknown}
 	e.got[id] = got
 	e.take(e.Submit(e.now, id, spec, p, func(v Verdict) { *got = v }))
--- a/coordination/owner/crash.go
+++ b/coordination/owner/crash.go
@@ -66,7 +66,7 @@
 func (s *Shard) lostBeforeLocked(now time.Duration, fx *Effects, node string, lost []worker.RunState) {
 	for _, r := range lost {
 		j := s.jobs[r.Run.Task.Job]
-		if j == nil || j.drop || j.rec.State.Final() || j.rec.Policy.Once {
+		if j == nil || j.drop || j.rec.State.Final() || j.rec.Policy.AtMostOnce {
 			continue
 		}
 		t := s.taskLocked(j, r.Run.Task)
--- a/coordination/owner/dispatch.go
+++ b/coordination/owner/dispatch.go
@@ -54,7 +54,7 @@
 		Due:          j.due,
 		Checkpoint:   j.rec.Task(id).Checkpoint,
 		MaxPerWorker: st.MaxPerWorker,
-		Once:         j.rec.Policy.Once,
+		Once:         j.rec.Policy.AtMostOnce,
 		Caution:      s.caution(j.rec.Task(id)),
 	}
 }
--- a/coordination/owner/events.go
+++ b/coordination/owner/events.go
@@ -68,7 +68,7 @@
 		s.surplusLocked(fx, node, r, j)
 		return
 	}
-	if t.phase == stopping && j.rec.Policy.Once && s.openEndLocked(j, r.Run) != nil {
+	if t.phase == stopping && j.rec.Policy.AtMostOnce && s.openEndLocked(j, r.Run) != nil {
 		// The record of the job's end is all that keeps it from being repeated.
 		t.phase = over
 		t.settleLater(node, Settlement{Run: r.Run})
@@ -101,7 +101,7 @@
 		}
 		s.failedLocked(now, fx, j, t, rec, node, r.Run)
 	default:
-		if j.rec.Policy.Once && r.End != job.NeverRan && !j.rec.State.Final() {
+		if j.rec.Policy.AtMostOnce && r.End != job.NeverRan && !j.rec.State.Final() {
 			t.phase = over
 			t.settleLater(node, Settlement{Run: r.Run})
 			s.failLocked(now, fx, j, FailureLost)
--- a/coordination/owner/found.go
+++ b/coordination/owner/found.go
@@ -95,7 +95,7 @@
 // beside that run, or count although that run has replaced it. A task that may not
 // be repeated has no newer run.
 func (s *Shard) mustHoldLocked(j *jobState, t *task, r worker.RunState) bool {
-	return t.phase == inDoubt && r.Status == worker.Ended && len(s.waitFor) > 0 && !j.rec.Policy.Once
+	return t.phase == inDoubt && r.Status == worker.Ended && len(s.waitFor) > 0 && !j.rec.Policy.AtMostOnce
 }
 
 // dropHeldLocked gives up an end that was held: a newer run was found. The same
--- a/coordination/owner/owner_test.go
+++ b/coordination/owner/owner_test.go
@@ -386,7 +386,7 @@
 
 // submitOnce has a job accepted whose tasks may not be repeated.
 func (f *fixture) submitOnce(id job.ID, n int) {
-	p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 1, Once: true, Slack: 1, Target: time.Second}
+	p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 1, AtMostOnce: true, Slack: 1, Target: time.Second}
 	f.take(f.Submit(f.now, id, steps(n), p, func(Verdict) {}))
 	f.write()
 }
@@ -453,7 +453,7 @@
 // job whose agents have all answered goes on.
 func TestTakeoverWithoutAnAgentRepeatsNothing(t *testing.T) {
 	for _, answers := range []bool{true, false} {
-		p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 1, Once: true, Slack: 1}
+		p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 1, AtMostOnce: true, Slack: 1}
 		f := newFixture(t, []*job.Record{job.NewRecord(testID, steps(1), p, 2)}, []string{"a"}, "b")
 		got := f.await(testID)
 		if answers {
--- a/coordination/owner/patience.go
+++ b/coordination/owner/patience.go
@@ -73,5 +73,5 @@
 		s.patience[p.Queue] = l
 	}
 	l.note(named)
-	return l.waited(named, p.TimeLimit)
+	return l.waited(named, p.RequestTimeout)
 }
--- a/coordination/owner/waitout.go
+++ b/coordination/owner/waitout.go
@@ -18,7 +18,7 @@
 				if (t.phase == ordered || t.phase == active || t.phase == stopping) && gone(tid, t) {
 					fx.log(Decision{What: "run_lost", Job: id, Run: job.RunID{Task: tid, Number: t.number}, Node: t.node})
 					t.phase = idle
-					if j.rec.Policy.Once && !j.rec.State.Final() {
+					if j.rec.Policy.AtMostOnce && !j.rec.State.Final() {
 						s.failLocked(now, fx, j, FailureLost)
 					}
 				}
@@ -95,7 +95,7 @@
 		if j.rec.State.Final() {
 			continue
 		}
-		if doubt && s.missed && j.rec.Policy.Once {
+		if doubt && s.missed && j.rec.Policy.AtMostOnce {
 			s.failLocked(now, fx, j, FailureLost)
 			continue
 		}
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -85,7 +85,7 @@
 	if u := t.usage[operator]; u != nil {
 		u.inFlight -= tasks
 		u.tokens += float64(tasks)
-		u.recent.Forget(tasks)
+		u.recent.RemoveLatest(tasks)
 	}
 }
 
--- a/daemon/agent/drains.go
+++ b/daemon/agent/drains.go
@@ -24,7 +24,7 @@
 func (a *Agent) drainsChanged(s drains.State) {
 	a.fleet.Drain(s)
 	a.links.Drain(s)
-	a.apply(a.worker.DrainDomain(bootclock.Now(), s.Has(a.settings.Zone)))
+	a.apply(a.worker.DrainDomain(bootclock.Now(), s.Has(a.settings.Domain)))
 	for c := range a.everyCaller() {
 		c.Send(nothing)
 	}
--- a/daemon/agent/drains_test.go
+++ b/daemon/agent/drains_test.go
@@ -29,7 +29,7 @@
 // newDrainAgent returns an agent in iksan with a caller.
 func newDrainAgent(st store.Store) *Agent {
 	set := coretest.Settings()
-	set.Zone = "iksan"
+	set.Domain = "iksan"
 	decode := func(r store.Record) (drains.Change, bool, error) {
 		return drains.Change{Domain: r.Key, Drained: true}, true, nil
 	}
--- a/daemon/agent/enrol.go
+++ b/daemon/agent/enrol.go
@@ -99,7 +99,7 @@
 		return nil, false
 	}
 	return &core.Registration{
-		Links: a.settings.Listen.LinksAddress(), Zone: a.settings.Zone, Orphans: a.orphaned.Load(),
+		Links: a.settings.Listen.LinksAddress(), Zone: a.settings.Domain, Orphans: a.orphaned.Load(),
 		Offer: &core.Offer{Service: s.Service, Labels: s.Labels, Capacity: s.Capacity},
 	}, true
 }
--- a/daemon/agent/membership.go
+++ b/daemon/agent/membership.go
@@ -103,10 +103,10 @@
 	}
 	a.confirmed.Set(sent)
 	if m.Generation != generation {
-		klog.InfoS("The group has changed", "generation", m.Generation, "shards", len(m.Parts))
+		klog.InfoS("The group has changed", "generation", m.Generation, "shards", len(m.Partitions))
 	}
-	mine := make(map[int]bool, len(m.Parts))
-	for _, p := range m.Parts {
+	mine := make(map[int]bool, len(m.Partitions))
+	for _, p := range m.Partitions {
 		if id, ok := shards.Number(p); ok {
 			mine[id] = true
 		}
--- a/daemon/agent/news.go
+++ b/daemon/agent/news.go
@@ -96,7 +96,7 @@
 	seen := c.Orders.Load()
 	l := a.worker.Load(now)
 	f.Load = wire.LoadToWire(&l)
-	f.Load.Domain = a.settings.Zone
+	f.Load.Domain = a.settings.Domain
 	f.Load.OrdersSeen = seen
 	f.Load.Placers = a.placers.Load()
 	f.Load.Orders = a.orders.Load()
--- a/daemon/clients/apply.go
+++ b/daemon/clients/apply.go
@@ -19,7 +19,7 @@
 
 // Apply implements httpapi.Declarer. It replaces an operator's declaration if
 // base is still the version in force.
-func (d *Declarations) Apply(ctx context.Context, operator string, base state.Version, raw []byte) state.Applied {
+func (d *Declarations) Apply(ctx context.Context, operator string, base state.Version, raw []byte) state.ApplyResult {
 	file, err := declaration.Parse(operator, raw)
 	if err != nil {
 		return notApplied(base, state.ReasonMalformed, err.Error())
@@ -41,8 +41,8 @@
 	return out
 }
 
-func notApplied(version state.Version, r state.Reason, detail string) state.Applied {
-	return state.Applied{Version: version, Outcome: state.NotRun, Reason: r, Detail: detail}
+func notApplied(version state.Version, r state.Reason, detail string) state.ApplyResult {
+	return state.ApplyResult{Version: version, Outcome: state.NotRun, Reason: r, Detail: detail}
 }
 
 // applying is one apply on its way.
@@ -55,7 +55,7 @@
 	file     *declaration.File
 }
 
-func (a *applying) run(ctx context.Context) state.Applied {
+func (a *applying) run(ctx context.Context) state.ApplyResult {
 	for {
 		all, err := a.begin(ctx)
 		if err == nil {
@@ -65,10 +65,10 @@
 			}
 			err = a.write(ctx, next)
 			if err == nil {
-				return state.Applied{Version: next.Version, Outcome: state.Complete}
+				return state.ApplyResult{Version: next.Version, Outcome: state.Complete}
 			}
 			if ctx.Err() != nil || !triedAgain(err) {
-				return state.Applied{Version: a.base, Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: err.Error()}
+				return state.ApplyResult{Version: a.base, Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: err.Error()}
 			}
 		}
 		klog.V(1).InfoS("An apply is tried again", "operator", a.operator, "epoch", a.epoch, "err", err)
@@ -106,14 +106,14 @@
 }
 
 // judge says why the declaration can't be in force, or returns its record.
-func (a *applying) judge(all map[string]*inForce) (*declared, *state.Applied) {
+func (a *applying) judge(all map[string]*inForce) (*declared, *state.ApplyResult) {
 	old := all[a.operator]
 	current := state.Version(0)
 	if old != nil {
 		current = old.Version
 		if current == a.base+1 && old.File == string(a.raw) {
 			// A repeat whose first reply was lost.
-			return nil, &state.Applied{Version: current, Outcome: state.Complete}
+			return nil, &state.ApplyResult{Version: current, Outcome: state.Complete}
 		}
 	}
 	if current != a.base {
--- a/daemon/clients/clients.go
+++ b/daemon/clients/clients.go
@@ -95,7 +95,7 @@
 		return state.Answer{Key: key, Outcome: state.Pending}
 	}
 	a := answerOf(key, c.entry.Await(ctx, id))
-	a.Stats.Cores = coreTime(a, &s.Job)
+	a.Stats.CoreTime = coreTime(a, &s.Job)
 	return a
 }
 
@@ -178,7 +178,7 @@
 }
 
 // SetDrain implements httpapi.Drainer. A name that nobody knows is most likely misspelt.
-func (c *Clients) SetDrain(ctx context.Context, domain string, drained bool) state.Applied {
+func (c *Clients) SetDrain(ctx context.Context, domain string, drained bool) state.ApplyResult {
 	if c.drains == nil {
 		return notApplied(0, state.ReasonDrainsElsewhere, "the drains of this system are set at its platform")
 	}
--- a/daemon/clients/declarations.go
+++ b/daemon/clients/declarations.go
@@ -21,7 +21,7 @@
 
 // DeclarationsPartition is where the store keeps the declarations, one record
 // for each operator.
-var DeclarationsPartition = store.Partition{Topic: "keyed.declarations", Part: 0}
+var DeclarationsPartition = store.Partition{Topic: "keyed.declarations", Number: 0}
 
 // maxHistory is how many applies of an operator its record lists: a day's, at
 // eight changes a day each.
--- a/daemon/clients/drains.go
+++ b/daemon/clients/drains.go
@@ -19,7 +19,7 @@
 
 // drainsPartition is where the store keeps the drains, one record for each failure domain
 // that ever was drained.
-var drainsPartition = store.Partition{Topic: "keyed.drains", Part: 0}
+var drainsPartition = store.Partition{Topic: "keyed.drains", Number: 0}
 
 // drainer is the producer of all drains; epochs tell writers apart.
 const drainer = "drains"
@@ -103,7 +103,7 @@
 
 // Set drains a failure domain, or ends its drain. What is so already stays as it is, and
 // counts as done: a repeat whose first reply was lost does no harm.
-func (d *Drains) Set(ctx context.Context, domain string, drained bool) state.Applied {
+func (d *Drains) Set(ctx context.Context, domain string, drained bool) state.ApplyResult {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	w := newFencedWriter(d.store, drainsPartition, drainer)
@@ -114,7 +114,7 @@
 			klog.InfoS("A drain was set", "domain", domain, "drained", drained, "version", out.Version)
 			return out
 		case !triedAgain(err) && w.wrote:
-			return state.Applied{Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: err.Error()}
+			return state.ApplyResult{Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: err.Error()}
 		case ctx.Err() != nil:
 			return notApplied(0, state.ReasonStoreUnavailable, err.Error())
 		}
@@ -123,10 +123,10 @@
 	}
 }
 
-func (d *Drains) setOnce(ctx context.Context, w *fencedWriter, domain string, drained bool) (state.Applied, error) {
+func (d *Drains) setOnce(ctx context.Context, w *fencedWriter, domain string, drained bool) (state.ApplyResult, error) {
 	records, err := w.fence(ctx, drainEpoch)
 	if err != nil {
-		return state.Applied{}, err
+		return state.ApplyResult{}, err
 	}
 	next := drainRecord{}
 	for _, r := range records {
@@ -135,12 +135,12 @@
 		}
 		old, err := parseDrain(r)
 		if err != nil {
-			return state.Applied{}, err
+			return state.ApplyResult{}, err
 		}
 		next = *old
 	}
 	if next.Drained == drained {
-		return state.Applied{Version: next.Version, Outcome: state.Complete}, nil
+		return state.ApplyResult{Version: next.Version, Outcome: state.Complete}, nil
 	}
 	next.Drained, next.Epoch = drained, w.epoch
 	next.Version++
@@ -150,11 +150,11 @@
 	next.History = next.History[max(0, len(next.History)-maxHistory):]
 	value, err := json.Marshal(&next)
 	if err != nil {
-		return state.Applied{}, errors.Wrap(err, "drain")
+		return state.ApplyResult{}, errors.Wrap(err, "drain")
 	}
 	if err := w.append(ctx, store.Record{Key: domain, Value: value}); err != nil {
-		return state.Applied{}, err
+		return state.ApplyResult{}, err
 	}
 	d.take(domain, &next)
-	return state.Applied{Version: next.Version, Outcome: state.Complete}, nil
+	return state.ApplyResult{Version: next.Version, Outcome: state.Complete}, nil
 }
--- a/daemon/clients/submission.go
+++ b/daemon/clients/submission.go
@@ -72,10 +72,10 @@
 		Queue: j.Key.Service, Service: j.Key.Service,
 		Priority: stepsBelowDefault(f.Priority),
 		Slack:    1, Target: max(0, deadline-longest),
-		MaxAttempts: 1, Once: true,
+		MaxAttempts: 1, AtMostOnce: true,
 	}
 	if j.Repeatable {
-		p.MaxAttempts, p.Once = attempts, false
+		p.MaxAttempts, p.AtMostOnce = attempts, false
 	}
 	return p
 }
--- a/daemon/core/partitions.go
+++ b/daemon/core/partitions.go
@@ -37,14 +37,14 @@
 
 // Partition returns that of a number.
 func (s Series) Partition(number int) store.Partition {
-	return store.Partition{Topic: s.topic(number / s.Parts), Part: number % s.Parts}
+	return store.Partition{Topic: s.topic(number / s.Parts), Number: number % s.Parts}
 }
 
 // Number returns that of a partition, or false if it is none of the series.
 func (s Series) Number(p store.Partition) (int, bool) {
 	i := slices.Index(s.Names(), p.Topic)
-	if i < 0 || p.Part < 0 || p.Part >= s.Parts {
+	if i < 0 || p.Number < 0 || p.Number >= s.Parts {
 		return 0, false
 	}
-	return i*s.Parts + p.Part, true
+	return i*s.Parts + p.Number, true
 }
--- a/daemon/dev/dev.go
+++ b/daemon/dev/dev.go
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	return &settings.Settings{
-		Role: role, Name: name, Zone: domain,
+		Role: role, Name: name, Domain: domain,
 		Store:  settings.Store{Address: addr, WritesPerSecond: writesPerSecond, Topics: 1, Partitions: partitions},
 		Bounds: settings.Bounds{Lease: time.Second, Grace: 10 * time.Second, Retention: 10 * time.Minute, RemoteFactor: 1},
 	}, nil
--- a/daemon/entry/effort.go
+++ b/daemon/entry/effort.go
@@ -47,7 +47,7 @@
 func (e *Entry) submitEffort(ctx context.Context, id job.ID, spec *job.Spec, p *job.Policy) owner.Verdict {
 	e.cover(ctx, spec, p)
 	what := *spec
-	what.Patience = patienceLeft(ctx, time.Now())
+	what.ClientTimeout = patienceLeft(ctx, time.Now())
 	got := make(chan owner.Verdict, 1)
 	e.effort.Step(func(now time.Duration) owner.Effects {
 		return e.effort.Submit(now, id, what, *p, func(v owner.Verdict) {
--- a/daemon/entry/numbers.go
+++ b/daemon/entry/numbers.go
@@ -97,7 +97,7 @@
 		return generation, err
 	}
 	share := subset.Share{Of: all.Size()}
-	for _, p := range m.Parts {
+	for _, p := range m.Partitions {
 		if number, ok := all.Number(p); ok {
 			share.Numbers = append(share.Numbers, number)
 		}
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -69,7 +69,7 @@
 	defer klog.Flush()
 	memory := memlimit.Set(int64(s.Limits.MemoryMB) * megabyte)
 	defer memory.Stop()
-	klog.InfoS("Starting", "role", s.Role, "name", s.Name, "zone", s.Zone, "version", Software)
+	klog.InfoS("Starting", "role", s.Role, "name", s.Name, "zone", s.Domain, "version", Software)
 	if err := runCore(s, *path); err != nil {
 		klog.ErrorS(err, "The role has failed")
 		return exitFailed
--- a/protocol/api/answer.go
+++ b/protocol/api/answer.go
@@ -76,7 +76,7 @@
 func (a Answer) Encode() ([]byte, error) { return marshal(a) }
 
 func statsOf(s state.Stats) *Stats {
-	return &Stats{LongestMS: fractionMS(s.Longest), TotalMS: fractionMS(s.Total), CoreMS: fractionMS(s.Cores), ElapsedMS: fractionMS(s.Elapsed)}
+	return &Stats{LongestMS: fractionMS(s.Longest), TotalMS: fractionMS(s.Total), CoreMS: fractionMS(s.CoreTime), ElapsedMS: fractionMS(s.Elapsed)}
 }
 
 func fractionMS(d time.Duration) float64 {
--- a/protocol/core/record.go
+++ b/protocol/core/record.go
@@ -143,7 +143,7 @@
 func PolicyToWire(p *job.Policy) *corepb.Policy {
 	return &corepb.Policy{
 		Queue: p.Queue, Service: p.Service, Priority: int32(p.Priority), MaxAttempts: int32(p.MaxAttempts),
-		Slack: p.Slack, TargetMs: p.Target.Milliseconds(), Version: p.Version, Once: p.Once,
+		Slack: p.Slack, TargetMs: p.Target.Milliseconds(), Version: p.Version, Once: p.AtMostOnce,
 	}
 }
 
@@ -151,6 +151,6 @@
 func PolicyFromWire(p *corepb.Policy) job.Policy {
 	return job.Policy{
 		Queue: p.GetQueue(), Service: p.GetService(), Priority: int(p.GetPriority()), MaxAttempts: int(p.GetMaxAttempts()),
-		Slack: p.GetSlack(), Target: time.Duration(p.GetTargetMs()) * time.Millisecond, Version: p.GetVersion(), Once: p.GetOnce(),
+		Slack: p.GetSlack(), Target: time.Duration(p.GetTargetMs()) * time.Millisecond, Version: p.GetVersion(), AtMostOnce: p.GetOnce(),
 	}
 }
--- a/state/job/job.go
+++ b/state/job/job.go
@@ -60,13 +60,13 @@
 
 // Times returns d multiplied by n in each dimension, rounded towards zero.
 func (d Demand) Times(n float64) Demand {
-	times := func(v int64) int64 { return int64(n * float64(v)) }
-	return Demand{times(d.CPUMillis), times(d.MemoryMB), times(d.GPUs)}
+	scale := func(v int64) int64 { return int64(n * float64(v)) }
+	return Demand{scale(d.CPUMillis), scale(d.MemoryMB), scale(d.GPUs)}
 }
 
-// Fits reports whether d is at most room in each dimension.
-func (d Demand) Fits(room Demand) bool {
-	return d.CPUMillis <= room.CPUMillis && d.MemoryMB <= room.MemoryMB && d.GPUs <= room.GPUs
+// Fits reports whether d is at most available in each dimension.
+func (d Demand) Fits(available Demand) bool {
+	return d.CPUMillis <= available.CPUMillis && d.MemoryMB <= available.MemoryMB && d.GPUs <= available.GPUs
 }
 
 // Spec describes the work that the client requested.
@@ -82,10 +82,10 @@
 	// BestEffort jobs are not recorded in the store: the client waits for the end
 	// and submits the job again if it gets no answer.
 	BestEffort bool
-	// Patience is how much longer the client of a best-effort job waits for its
+	// ClientTimeout is how much longer the client of a best-effort job waits for its
 	// end, as stated in this submission. Zero means not stated. It is not recorded
 	// in the store.
-	Patience time.Duration
+	ClientTimeout time.Duration
 }
 
 // Tasks returns the total number of tasks of all steps.
@@ -115,17 +115,17 @@
 	// MaxAttempts is the number of failed runs of a task after which the job
 	// fails. Less than 1 counts as 1.
 	MaxAttempts int
-	// Once forbids starting a task again if an earlier run may have had effects. The
-	// job fails instead.
-	Once bool
+	// AtMostOnce forbids starting a task again if an earlier run may have had
+	// effects. The job fails instead.
+	AtMostOnce bool
 	// Slack and Target define the latency objective of a job: the length of the
 	// longest chain of dependent steps, multiplied by Slack, plus Target. Slack below
 	// 1 counts as 1.
 	Slack  float64
 	Target time.Duration
-	// TimeLimit is how long clients of this queue usually wait for an answer. Zero
+	// RequestTimeout is how long clients of this queue usually wait for an answer. Zero
 	// means not known. It is not recorded in the store.
-	TimeLimit time.Duration
+	RequestTimeout time.Duration
 	// Version is the version of the configuration with which the entry admitted the
 	// submission.
 	Version int64
--- a/state/job/record.go
+++ b/state/job/record.go
@@ -81,9 +81,9 @@
 	if id.Step < 0 || id.Step >= len(r.Spec.Steps) || id.Index < 0 || id.Index >= r.Spec.Steps[id.Step].Count {
 		return nil
 	}
-	at := r.Offset(id.Step) + id.Index
-	if at >= len(r.Tasks) {
+	index := r.Offset(id.Step) + id.Index
+	if index >= len(r.Tasks) {
 		return nil
 	}
-	return &r.Tasks[at]
+	return &r.Tasks[index]
 }
--- a/state/outcome.go
+++ b/state/outcome.go
@@ -146,10 +146,10 @@
 	return http.StatusInternalServerError
 }
 
-// Known returns r if it is documented or ReasonNone, and ReasonUndocumented
+// Normalize returns r if it is documented or ReasonNone, and ReasonUndocumented
 // otherwise. Reasons are metric labels: without this, every new value that a peer
 // sends would create a time series that is never removed.
-func (r Reason) Known() Reason {
+func (r Reason) Normalize() Reason {
 	if _, ok := reasonStatus[r]; ok || r == ReasonNone {
 		return r
 	}
--- a/state/settings/settings.go
+++ b/state/settings/settings.go
@@ -24,8 +24,8 @@
 	Role string `json:"role"`
 	// Name is unique among the processes of a system.
 	Name string `json:"name"`
-	// Zone is the failure domain of the process.
-	Zone string `json:"zone"`
+	// Domain is the failure domain of the process.
+	Domain string `json:"zone"`
 	// Links is the number of agents that the process keeps connections to. Zero means
 	// all. If a job needs other agents, the process connects to them on demand.
 	Links int `json:"links"`
@@ -128,16 +128,16 @@
 }
 
 func (s *Settings) check() error {
-	need := map[string]string{"name": s.Name, "store.address": s.Store.Address}
+	required := map[string]string{"name": s.Name, "store.address": s.Store.Address}
 	switch s.Role {
 	case RoleEntry:
-		need["listen.clients"], need["listen.ready"] = s.Listen.Clients, s.Listen.Ready
+		required["listen.clients"], required["listen.ready"] = s.Listen.Clients, s.Listen.Ready
 	case RoleAgent:
-		need["listen.reports"], need["listen.links"], need["server.address"] = s.Listen.Reports, s.Listen.Links, s.Server.Address
+		required["listen.reports"], required["listen.links"], required["server.address"] = s.Listen.Reports, s.Listen.Links, s.Server.Address
 	default:
 		return errors.Errorf("settings: role %q is neither %q nor %q", s.Role, RoleEntry, RoleAgent)
 	}
-	for key, value := range need {
+	for key, value := range required {
 		if value == "" {
 			return errors.Errorf("settings: %s is missing", key)
 		}
--- a/state/settings/settings_test.go
+++ b/state/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-const entry = `{
+const entrySettings = `{
   "role": "entry", "name": "e", "zone": "jeonju",
   "listen": {"clients": "127.0.0.1:1", "ready": "127.0.0.1:2", "api": "127.0.0.1:3"},
   "store": {"address": "127.0.0.1:4", "writes_per_second": 10, "topics": 1, "partitions": 4, "min_ttl": "500ms"},
@@ -17,9 +17,9 @@
 
 // Guards against a process that starts with missing or invalid settings and
 // misbehaves until somebody notices. Each error has to name the key at fault.
-func TestFaultsAreNamed(t *testing.T) {
+func TestErrorsNameTheKey(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse("entry.json", []byte(entry))
+	s, err := Parse("entry.json", []byte(entrySettings))
 	is.NoErr(err)
 	is.Equal(s.Shards(), 4)
 	for _, c := range []struct{ from, to, want string }{
@@ -33,14 +33,14 @@
 		{`"grace": "8s"`, `"grace": 8`, "bounds.grace"},
 		{`"zone"`, `"zoen"`, "zoen"},
 	} {
-		_, err := Parse("entry.json", []byte(strings.Replace(entry, c.from, c.to, 1)))
+		_, err := Parse("entry.json", []byte(strings.Replace(entrySettings, c.from, c.to, 1)))
 		is.True(err != nil)
 		is.True(strings.Contains(err.Error(), c.want)) // names what is wrong
 	}
 }
 
 // Guards against a setting that is missing from the settings page.
-func TestEveryKeyIsOnThePage(t *testing.T) {
+func TestEveryKeyIsDocumented(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
 	is.NoErr(err)
--- a/state/sliding/sliding.go
+++ b/state/sliding/sliding.go
@@ -9,10 +9,10 @@
 // decrease. A Window is not safe for concurrent use.
 type Window struct {
 	Span time.Duration
-	// Grain limits memory use: events within this time of the first event of a group are
-	// counted as one group, which leaves the window when its last event does. Zero keeps the
+	// Resolution limits memory use: events within this time of the first event of a group
+	// belong to the group, which leaves the window when its last event does. Zero keeps the
 	// time of each event.
-	Grain time.Duration
+	Resolution time.Duration
 
 	events []event
 	sum    int
@@ -26,12 +26,12 @@
 
 // Sum returns the number of events within the Span that ends at now.
 func (w *Window) Sum(now time.Duration) int {
-	gone := 0
-	for gone < len(w.events) && now-w.events[gone].last >= w.Span {
-		w.sum -= w.events[gone].count
-		gone++
+	expired := 0
+	for expired < len(w.events) && now-w.events[expired].last >= w.Span {
+		w.sum -= w.events[expired].count
+		expired++
 	}
-	w.events = w.events[gone:]
+	w.events = w.events[expired:]
 	return w.sum
 }
 
@@ -39,7 +39,7 @@
 func (w *Window) Add(now time.Duration, count int) {
 	w.Sum(now)
 	w.sum += count
-	if n := len(w.events); n > 0 && now-w.events[n-1].first <= w.Grain {
+	if n := len(w.events); n > 0 && now-w.events[n-1].first <= w.Resolution {
 		w.events[n-1].last = now
 		w.events[n-1].count += count
 		return
@@ -47,24 +47,24 @@
 	w.events = append(w.events, event{first: now, last: now, count: count})
 }
 
-// Wait returns the time from now until at most that many of the present events are left in
-// the window. Zero means that this is so already.
-func (w *Window) Wait(now time.Duration, most int) time.Duration {
+// Wait returns the time from now until at most limit of the present events are left in the
+// window. Zero means that this is so already.
+func (w *Window) Wait(now time.Duration, limit int) time.Duration {
 	left := w.Sum(now)
 	for _, e := range w.events {
-		if left <= most {
+		if left <= limit {
 			return 0
 		}
 		left -= e.count
-		if left <= most {
+		if left <= limit {
 			return e.last + w.Span - now
 		}
 	}
 	return 0
 }
 
-// Forget removes the given number of events, the latest first.
-func (w *Window) Forget(count int) {
+// RemoveLatest removes the given number of events, the latest first.
+func (w *Window) RemoveLatest(count int) {
 	for count > 0 && len(w.events) > 0 {
 		e := &w.events[len(w.events)-1]
 		n := min(count, e.count)
--- a/state/sliding/sliding_test.go
+++ b/state/sliding/sliding_test.go
@@ -12,8 +12,8 @@
 func TestNoSpanHasMoreThanItsBound(t *testing.T) {
 	is := is.New(t)
 	const bound = 10
-	for _, grain := range []time.Duration{0, 50 * time.Millisecond} {
-		w := Window{Span: time.Second, Grain: grain}
+	for _, resolution := range []time.Duration{0, 50 * time.Millisecond} {
+		w := Window{Span: time.Second, Resolution: resolution}
 		var taken []time.Duration
 		for now := 900 * time.Millisecond; now < 5*time.Second; now += 7 * time.Millisecond {
 			if w.Sum(now) < bound {
@@ -36,7 +36,7 @@
 
 // Guards against a wait after which too many events are still in the window, and against one
 // that is longer than needed.
-func TestWaitIsTrue(t *testing.T) {
+func TestWaitIsExact(t *testing.T) {
 	is := is.New(t)
 	w := Window{Span: time.Second}
 	w.Add(0, 3)
@@ -50,9 +50,9 @@
 
 // Guards against memory use that grows with the number of events: at most 21 groups of 50 ms
 // fit into a span of 1 s.
-func TestGrainBoundsTheMemory(t *testing.T) {
+func TestResolutionBoundsMemory(t *testing.T) {
 	is := is.New(t)
-	w := Window{Span: time.Second, Grain: 50 * time.Millisecond}
+	w := Window{Span: time.Second, Resolution: 50 * time.Millisecond}
 	for now := time.Duration(0); now < 10*time.Second; now += 100 * time.Microsecond {
 		w.Add(now, 1)
 	}
--- a/state/state.go
+++ b/state/state.go
@@ -118,16 +118,16 @@
 	// Longest is the longest execution time of a task, Total the sum over all
 	// tasks.
 	Longest, Total time.Duration
-	// Cores is the sum of each task's execution time multiplied by the cores it
+	// CoreTime is the sum of each task's execution time multiplied by the cores it
 	// requested. Zero means that the requested cores are not known, as when a job
 	// is looked up by its ID.
-	Cores time.Duration
+	CoreTime time.Duration
 	// Elapsed is the time from the acceptance of the job to its end.
 	Elapsed time.Duration
 }
 
-// Applied is the result of applying a declaration or a drain.
-type Applied struct {
+// ApplyResult is the result of applying a declaration or a drain.
+type ApplyResult struct {
 	// Version is the version that was accepted if Reason is empty, and otherwise
 	// the version in force.
 	Version Version
--- a/state/store/store.go
+++ b/state/store/store.go
@@ -26,8 +26,8 @@
 // Partition identifies a partition: a topic and the number of the partition
 // within it, from 0.
 type Partition struct {
-	Topic string
-	Part  int
+	Topic  string
+	Number int
 }
 
 // Record is a key and its value. A nil Value deletes the key.
@@ -49,7 +49,7 @@
 type Membership struct {
 	// Generation increases with each change of the group.
 	Generation int64
-	Parts      []Partition
+	Partitions []Partition
 }
 
 // Store is the platform's log. Implementations are safe for concurrent use.
--- a/transport/asynclog/asynclog.go
+++ b/transport/asynclog/asynclog.go
@@ -109,7 +109,7 @@
 }
 
 func newRate(now time.Time) *rate {
-	return &rate{began: now, lines: sliding.Window{Span: time.Second, Grain: gatherFor}}
+	return &rate{began: now, lines: sliding.Window{Span: time.Second, Resolution: gatherFor}}
 }
 
 func (r *rate) take(now time.Time) bool {
--- a/transport/httpapi/declarations.go
+++ b/transport/httpapi/declarations.go
@@ -35,7 +35,7 @@
 	x.answer(api.Applied{Operator: operator, Version: applied.Version, Outcome: api.Outcome(state.Complete)})
 }
 
-func applyProblem(a state.Applied) *api.Problem {
+func applyProblem(a state.ApplyResult) *api.Problem {
 	reason, outcome := a.Reason, a.Outcome
 	if reason == state.ReasonNone {
 		reason = state.ReasonInternal
--- a/transport/httpapi/fakes_test.go
+++ b/transport/httpapi/fakes_test.go
@@ -79,23 +79,23 @@
 	services map[string]string
 	next     state.Version
 	// fault, when set, answers every apply.
-	fault    *state.Applied
+	fault    *state.ApplyResult
 	inForce  map[string]Declaration
 	accepted map[string][]HistoryEntry
 }
 
-func (f *fakeDeclarer) Apply(_ context.Context, operator string, base state.Version, raw []byte) state.Applied {
+func (f *fakeDeclarer) Apply(_ context.Context, operator string, base state.Version, raw []byte) state.ApplyResult {
 	current := f.inForce[operator].Version
 	if f.fault != nil {
 		return *f.fault
 	}
 	if base != current {
-		return state.Applied{Version: current, Outcome: state.NotRun, Reason: state.ReasonLostRace}
+		return state.ApplyResult{Version: current, Outcome: state.NotRun, Reason: state.ReasonLostRace}
 	}
 	f.next++
 	f.inForce[operator] = Declaration{Version: f.next, Raw: raw}
 	f.accepted[operator] = append(f.accepted[operator], HistoryEntry{Version: f.next, Base: base, By: "entry-1"})
-	return state.Applied{Version: f.next, Outcome: state.Complete}
+	return state.ApplyResult{Version: f.next, Outcome: state.Complete}
 }
 
 func (f *fakeDeclarer) Get(operator string) (Declaration, bool) {
@@ -122,13 +122,13 @@
 	return []api.Drain{{Domain: "iksan", Drained: f.drained, Agents: 2}}
 }
 
-func (f *fakeDrainer) SetDrain(_ context.Context, domain string, drained bool) state.Applied {
+func (f *fakeDrainer) SetDrain(_ context.Context, domain string, drained bool) state.ApplyResult {
 	if domain != "iksan" {
-		return state.Applied{Outcome: state.NotRun, Reason: state.ReasonUnknownDomain, Detail: "no agents"}
+		return state.ApplyResult{Outcome: state.NotRun, Reason: state.ReasonUnknownDomain, Detail: "no agents"}
 	}
 	f.drained = drained
 	f.entries = append(f.entries, api.DrainEntry{Version: state.Version(len(f.entries) + 1), Drained: drained, By: "entry-1"})
-	return state.Applied{Version: state.Version(len(f.entries)), Outcome: state.Complete}
+	return state.ApplyResult{Version: state.Version(len(f.entries)), Outcome: state.Complete}
 }
 
 func (f *fakeDrainer) DrainHistory(domain string) []api.DrainEntry {
--- a/transport/httpapi/golden_test.go
+++ b/transport/httpapi/golden_test.go
@@ -24,7 +24,7 @@
 var setups = map[string]func(*bench, *Options){
 	"not-ready": func(b *bench, _ *Options) { b.ready = false },
 	"log-out-of-service": func(b *bench, _ *Options) {
-		b.declarer.fault = &state.Applied{Version: 16, Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: "the reply was lost"}
+		b.declarer.fault = &state.ApplyResult{Version: 16, Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: "the reply was lost"}
 	},
 	"tokens": func(_ *bench, o *Options) {
 		o.Tokens = []Token{
--- a/transport/httpapi/options.go
+++ b/transport/httpapi/options.go
@@ -50,7 +50,7 @@
 type Declarer interface {
 	// Apply has raw replace the operator's declaration if base is still the
 	// version in force.
-	Apply(ctx context.Context, operator string, base state.Version, raw []byte) state.Applied
+	Apply(ctx context.Context, operator string, base state.Version, raw []byte) state.ApplyResult
 	Get(operator string) (Declaration, bool)
 	// History returns the applies that are still known, newest last.
 	History(operator string) []HistoryEntry
@@ -64,7 +64,7 @@
 	// Drains lists the failure domains that are known or drained.
 	Drains() []api.Drain
 	// SetDrain drains a failure domain or ends its drain.
-	SetDrain(ctx context.Context, domain string, drained bool) state.Applied
+	SetDrain(ctx context.Context, domain string, drained bool) state.ApplyResult
 	// DrainHistory returns what was asked for a failure domain, newest last.
 	DrainHistory(domain string) []api.DrainEntry
 }
--- a/transport/metrics/metrics.go
+++ b/transport/metrics/metrics.go
@@ -50,5 +50,5 @@
 
 // Refused counts a refusal. Words that are not documented share one series.
 func (m *Metrics) Refused(reason state.Reason) {
-	m.Refusals.WithLabelValues(string(reason.Known())).Inc()
+	m.Refusals.WithLabelValues(string(reason.Normalize())).Inc()
 }
