--- a/state/declaration/fuzz_test.go
+++ b/state/declaration/fuzz_test.go
@@ -15,8 +15,8 @@
 	f.Fuzz(func(t *testing.T, src []byte) {
 		file, err := Parse("f.json", src)
 		if err != nil {
-			var faults strictjson.Errors
-			if !errors.As(err, &faults) || len(faults) == 0 || len(faults) > maxFaults+1 {
+			var errs strictjson.Errors
+			if !errors.As(err, &errs) || len(errs) == 0 || len(errs) > maxErrors+1 {
 				t.Fatalf("the error is not of type Errors, is empty or has too many entries: %v", err)
 			}
 			return
--- a/state/declaration/parse.go
+++ b/state/declaration/parse.go
@@ -59,42 +59,42 @@
 	var in fileJSON
 	doc, err := strictjson.DecodeDocument(name, src, &in)
 	c := &checker{doc: doc}
-	if err != nil && !c.addDecoding(err) {
+	if err != nil && !c.addDecodeErrors(err) {
 		return nil, err
 	}
-	f := c.file(&in)
+	f := c.convertFile(&in)
 	if len(c.errs) > 0 {
-		return nil, c.report()
+		return nil, c.firstErrors()
 	}
 	return f, nil
 }
 
-func (c *checker) file(in *fileJSON) *File {
+func (c *checker) convertFile(in *fileJSON) *File {
 	f := &File{
-		Operator: c.name("operator", in.Operator),
-		Priority: int(c.optional("priority", in.Priority, 1, MaxPriority, DefaultPriority)),
+		Operator: c.requiredName("operator", in.Operator),
+		Priority: int(c.optionalNumber("priority", in.Priority, 1, MaxPriority, DefaultPriority)),
 		Quota: Quota{
-			TasksInFlight:  int(c.number("quota.tasks_in_flight", in.Quota.TasksInFlight, 1, MaxTasksInFlight)),
-			TasksPerSecond: int(c.number("quota.tasks_per_second", in.Quota.TasksPerSecond, 1, MaxTasksPerSecond)),
+			TasksInFlight:  int(c.requiredNumber("quota.tasks_in_flight", in.Quota.TasksInFlight, 1, MaxTasksInFlight)),
+			TasksPerSecond: int(c.requiredNumber("quota.tasks_per_second", in.Quota.TasksPerSecond, 1, MaxTasksPerSecond)),
 		},
 	}
-	c.required("services")
+	c.requireKey("services")
 	if len(in.Services) > MaxServices {
-		c.failf("services", "%d services exceed the limit of %d", len(in.Services), MaxServices)
+		c.addErrorf("services", "%d services exceed the limit of %d", len(in.Services), MaxServices)
 		return f
 	}
-	f.Services = c.services(in.Services)
+	f.Services = c.convertServices(in.Services)
 	return f
 }
 
-func (c *checker) services(in []serviceJSON) []ServiceSpec {
+func (c *checker) convertServices(in []serviceJSON) []ServiceSpec {
 	out := make([]ServiceSpec, 0, len(in))
 	names := make(map[string]bool, len(in))
 	for i := range in {
 		key := fmt.Sprintf("services[%d]", i)
-		s := c.service(key, &in[i])
+		s := c.convertService(key, &in[i])
 		if names[s.Name] {
-			c.failf(key+".name", "duplicate service %q", s.Name)
+			c.addErrorf(key+".name", "duplicate service %q", s.Name)
 		}
 		names[s.Name] = true
 		out = append(out, s)
@@ -102,35 +102,35 @@
 	return out
 }
 
-func (c *checker) service(key string, in *serviceJSON) ServiceSpec {
+func (c *checker) convertService(key string, in *serviceJSON) ServiceSpec {
 	return ServiceSpec{
-		Name:       c.name(key+".name", in.Name),
-		Region:     c.name(key+".region", in.Region),
-		Task:       c.task(key+".task_defaults", &in.TaskDefaults),
-		MaxTasks:   int(c.optional(key+".max_tasks", in.MaxTasks, 1, state.MaxTasksPerJob, state.MaxTasksPerJob)),
-		Deadline:   c.millis(key+".deadline_ms", in.DeadlineMS, time.Millisecond, MaxDeadline, DefaultDeadline),
+		Name:       c.requiredName(key+".name", in.Name),
+		Region:     c.requiredName(key+".region", in.Region),
+		Task:       c.convertTask(key+".task_defaults", &in.TaskDefaults),
+		MaxTasks:   int(c.optionalNumber(key+".max_tasks", in.MaxTasks, 1, state.MaxTasksPerJob, state.MaxTasksPerJob)),
+		Deadline:   c.optionalMillis(key+".deadline_ms", in.DeadlineMS, time.Millisecond, MaxDeadline, DefaultDeadline),
 		Repeatable: in.Repeatable,
-		Placement:  c.placement(key+".placement", &in.Placement),
+		Placement:  c.convertPlacement(key+".placement", &in.Placement),
 	}
 }
 
-func (c *checker) task(key string, in *taskJSON) TaskDefaults {
+func (c *checker) convertTask(key string, in *taskJSON) TaskDefaults {
 	return TaskDefaults{
-		Cores:        c.cores(key+".cores", in.Cores),
-		MemoryMB:     c.optional(key+".memory_mb", in.MemoryMB, 1, MaxMemoryMB, DefaultMemoryMB),
-		Accelerators: c.optional(key+".accelerators", in.Accelerators, 0, MaxAccelerators, 0),
-		Expected:     c.millis(key+".expected_ms", in.ExpectedMS, time.Millisecond, MaxExpected, DefaultExpected),
+		Cores:        c.optionalCores(key+".cores", in.Cores),
+		MemoryMB:     c.optionalNumber(key+".memory_mb", in.MemoryMB, 1, MaxMemoryMB, DefaultMemoryMB),
+		Accelerators: c.optionalNumber(key+".accelerators", in.Accelerators, 0, MaxAccelerators, 0),
+		Expected:     c.optionalMillis(key+".expected_ms", in.ExpectedMS, time.Millisecond, MaxExpected, DefaultExpected),
 	}
 }
 
-func (c *checker) placement(key string, in *placementJSON) Placement {
-	c.atMost(key+".domains", len(in.Domains), MaxPlacementNames)
-	c.atMost(key+".racks", len(in.Racks), MaxPlacementNames)
+func (c *checker) convertPlacement(key string, in *placementJSON) Placement {
+	c.checkCount(key+".domains", len(in.Domains), MaxPlacementNames)
+	c.checkCount(key+".racks", len(in.Racks), MaxPlacementNames)
 	for i, domain := range in.Domains {
-		c.name(fmt.Sprintf("%s.domains[%d]", key, i), domain)
+		c.requiredName(fmt.Sprintf("%s.domains[%d]", key, i), domain)
 	}
 	for i, rack := range in.Racks {
-		c.rack(fmt.Sprintf("%s.racks[%d]", key, i), rack)
+		c.checkRack(fmt.Sprintf("%s.racks[%d]", key, i), rack)
 	}
 	return Placement{Domains: in.Domains, Racks: in.Racks}
 }
--- a/state/strictjson/decoder.go
+++ b/state/strictjson/decoder.go
@@ -22,50 +22,50 @@
 	errs Errors
 }
 
-func (d *decoder) fail(key string, at *hujson.Value, format string, args ...any) {
-	fault := d.doc.fault(at.StartOffset, fmt.Sprintf(format, args...))
-	fault.Key = key
-	d.errs = append(d.errs, fault)
+func (d *decoder) addErrorf(key string, at *hujson.Value, format string, args ...any) {
+	fieldErr := d.doc.errorAt(at.StartOffset, fmt.Sprintf(format, args...))
+	fieldErr.Key = key
+	d.errs = append(d.errs, fieldErr)
 }
 
-func (d *decoder) value(key string, v *hujson.Value, target reflect.Value) {
+func (d *decoder) decodeValue(key string, v *hujson.Value, target reflect.Value) {
 	d.doc.lines[key] = d.doc.lineAt(v.StartOffset)
 	switch {
 	case target.Type() == rawType:
-		target.SetBytes(standard(v))
+		target.SetBytes(standardJSON(v))
 	case v.Value.Kind() == 'n':
-		d.fail(key, v, "null is not allowed: omit the key instead")
+		d.addErrorf(key, v, "null is not allowed: omit the key instead")
 	case target.Kind() == reflect.Pointer:
 		if target.IsNil() {
 			target.Set(reflect.New(target.Type().Elem()))
 		}
-		d.value(key, v, target.Elem())
+		d.decodeValue(key, v, target.Elem())
 	case target.Type() == durationType:
-		d.duration(key, v, target)
+		d.decodeDuration(key, v, target)
 	case target.Addr().Type().Implements(unmarshalerType):
-		if err := json.Unmarshal(standard(v), target.Addr().Interface()); err != nil {
-			d.fail(key, v, "%v", err)
+		if err := json.Unmarshal(standardJSON(v), target.Addr().Interface()); err != nil {
+			d.addErrorf(key, v, "%v", err)
 		}
 	default:
-		d.byKind(key, v, target)
+		d.decodeByKind(key, v, target)
 	}
 }
 
-func (d *decoder) byKind(key string, v *hujson.Value, target reflect.Value) {
+func (d *decoder) decodeByKind(key string, v *hujson.Value, target reflect.Value) {
 	switch target.Kind() {
 	case reflect.Struct:
 		if obj, ok := v.Value.(*hujson.Object); ok {
-			d.object(key, obj, target)
+			d.decodeObject(key, obj, target)
 			return
 		}
 	case reflect.Map:
 		if obj, ok := v.Value.(*hujson.Object); ok {
-			d.mapping(key, obj, target)
+			d.decodeMap(key, obj, target)
 			return
 		}
 	case reflect.Slice:
 		if arr, ok := v.Value.(*hujson.Array); ok {
-			d.array(key, arr, target)
+			d.decodeArray(key, arr, target)
 			return
 		}
 	default:
@@ -73,43 +73,43 @@
 			return
 		}
 	}
-	d.fail(key, v, "must be %s, is %s", wanted(target.Type()), found(v))
+	d.addErrorf(key, v, "must be %s, is %s", expectedType(target.Type()), describeValue(v))
 }
 
-func (d *decoder) object(key string, obj *hujson.Object, target reflect.Value) {
+func (d *decoder) decodeObject(key string, obj *hujson.Object, target reflect.Value) {
 	fields := fieldsOf(target.Type())
-	d.members(key, obj, func(name, path string, m *hujson.ObjectMember) {
+	d.forEachMember(key, obj, func(name, path string, m *hujson.ObjectMember) {
 		index, ok := fields[name]
 		if !ok {
-			d.fail(path, &m.Name, "unknown key%s", suggestion(name, fields))
+			d.addErrorf(path, &m.Name, "unknown key%s", suggestion(name, fields))
 			return
 		}
-		d.value(path, &m.Value, target.Field(index))
+		d.decodeValue(path, &m.Value, target.Field(index))
 	})
 }
 
-func (d *decoder) mapping(key string, obj *hujson.Object, target reflect.Value) {
+func (d *decoder) decodeMap(key string, obj *hujson.Object, target reflect.Value) {
 	out := reflect.MakeMapWithSize(target.Type(), len(obj.Members))
-	d.members(key, obj, func(name, path string, m *hujson.ObjectMember) {
+	d.forEachMember(key, obj, func(name, path string, m *hujson.ObjectMember) {
 		elem := reflect.New(target.Type().Elem()).Elem()
-		d.value(path, &m.Value, elem)
+		d.decodeValue(path, &m.Value, elem)
 		out.SetMapIndex(reflect.ValueOf(name).Convert(target.Type().Key()), elem)
 	})
 	target.Set(out)
 }
 
-// members calls visit for the first member of each name. Of two members with the
-// same name encoding/json silently keeps the last one, which misleads a reader
+// forEachMember calls visit for the first member of each name. Of two members with
+// the same name encoding/json silently keeps the last one, which misleads a reader
 // who sees the first; here the second one is an error.
-func (d *decoder) members(key string, obj *hujson.Object, visit func(name, path string, m *hujson.ObjectMember)) {
+func (d *decoder) forEachMember(key string, obj *hujson.Object, visit func(name, path string, m *hujson.ObjectMember)) {
 	seen := make(map[string]int, len(obj.Members))
 	for i := range obj.Members {
 		m := &obj.Members[i]
 		name := m.Name.Value.(hujson.Literal).String()
-		path := join(key, name)
+		path := joinKey(key, name)
 		line := d.doc.lineAt(m.Name.StartOffset)
-		if first, twice := seen[name]; twice {
-			d.fail(path, &m.Name, "duplicate key, first on line %d", first)
+		if first, duplicate := seen[name]; duplicate {
+			d.addErrorf(path, &m.Name, "duplicate key, first on line %d", first)
 			continue
 		}
 		seen[name] = line
@@ -117,33 +117,34 @@
 	}
 }
 
-func (d *decoder) array(key string, arr *hujson.Array, target reflect.Value) {
+func (d *decoder) decodeArray(key string, arr *hujson.Array, target reflect.Value) {
 	out := reflect.MakeSlice(target.Type(), len(arr.Elements), len(arr.Elements))
 	for i := range arr.Elements {
-		d.value(fmt.Sprintf("%s[%d]", key, i), &arr.Elements[i], out.Index(i))
+		d.decodeValue(fmt.Sprintf("%s[%d]", key, i), &arr.Elements[i], out.Index(i))
 	}
 	target.Set(out)
 }
 
-func (d *decoder) duration(key string, v *hujson.Value, target reflect.Value) {
+func (d *decoder) decodeDuration(key string, v *hujson.Value, target reflect.Value) {
 	if v.Value.Kind() == '"' {
-		length, err := time.ParseDuration(v.Value.(hujson.Literal).String())
+		parsed, err := time.ParseDuration(v.Value.(hujson.Literal).String())
 		if err == nil {
-			target.SetInt(int64(length))
+			target.SetInt(int64(parsed))
 			return
 		}
 	}
-	d.fail(key, v, `must be a duration such as "250ms" or "5s", is %s`, found(v))
+	d.addErrorf(key, v, `must be a duration such as "250ms" or "5s", is %s`, describeValue(v))
 }
 
-// standard returns the value as standard JSON without comments and white space.
-func standard(v *hujson.Value) []byte {
+// standardJSON returns the value as standard JSON without comments and white
+// space.
+func standardJSON(v *hujson.Value) []byte {
 	plain := v.Clone()
 	plain.Minimize()
 	return plain.Pack()
 }
 
-func join(key, name string) string {
+func joinKey(key, name string) string {
 	if key == "" {
 		return name
 	}
--- a/state/strictjson/depth.go
+++ b/state/strictjson/depth.go
@@ -2,10 +2,10 @@
 
 import "bytes"
 
-// tooDeep reports whether src nests deeper than MaxDepth, and the offset of the
-// first bracket that does. It skips strings and comments and leaves all syntax
+// exceedsMaxDepth reports whether src nests deeper than MaxDepth, and the offset of
+// the first bracket that does. It skips strings and comments and leaves all syntax
 // errors to the parser.
-func tooDeep(src []byte) (offset int, deep bool) {
+func exceedsMaxDepth(src []byte) (offset int, deep bool) {
 	depth := 0
 	for i := 0; i < len(src); {
 		switch src[i] {
--- a/state/strictjson/kinds.go
+++ b/state/strictjson/describe.go
@@ -10,9 +10,9 @@
 // maxQuoted is the longest part of an invalid value in an error message, in bytes.
 const maxQuoted = 40
 
-// wanted returns a description of the JSON values that decode into a Go type, for
+// expectedType returns a description of the JSON values that decode into a Go type, for
 // error messages.
-func wanted(t reflect.Type) string {
+func expectedType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Struct, reflect.Map:
 		return "an object"
@@ -33,21 +33,21 @@
 	}
 }
 
-// found returns a description of a value in the file, for error messages.
-func found(v *hujson.Value) string {
+// describeValue returns a description of a value in the file, for error messages.
+func describeValue(v *hujson.Value) string {
 	switch v.Value.Kind() {
 	case '{':
 		return "an object"
 	case '[':
 		return "an array"
 	case '"':
-		return "the string " + shorten(string(v.Value.(hujson.Literal)))
+		return "the string " + truncate(string(v.Value.(hujson.Literal)))
 	default:
-		return shorten(string(v.Value.(hujson.Literal)))
+		return truncate(string(v.Value.(hujson.Literal)))
 	}
 }
 
-func shorten(s string) string {
+func truncate(s string) string {
 	if len(s) <= maxQuoted {
 		return s
 	}
--- a/state/strictjson/document.go
+++ b/state/strictjson/document.go
@@ -29,9 +29,9 @@
 type Document struct {
 	file string
 	src  []byte
-	// breaks has the offsets of all newlines in ascending order, so that the line of
+	// newlines has the offsets of all newlines in ascending order, so that the line of
 	// a value is found without reading the file from its start.
-	breaks []int
+	newlines []int
 	// lines has the line of each key path.
 	lines map[string]int
 }
@@ -52,13 +52,13 @@
 	if target.Kind() != reflect.Pointer || target.IsNil() {
 		panic("strictjson: v must be a non-nil pointer")
 	}
-	doc := &Document{file: name, src: src, breaks: lineBreaks(src), lines: make(map[string]int)}
-	root, fault := doc.parse()
-	if fault != nil {
-		return doc, Errors{fault}
+	doc := &Document{file: name, src: src, newlines: newlineOffsets(src), lines: make(map[string]int)}
+	root, parseErr := doc.parse()
+	if parseErr != nil {
+		return doc, Errors{parseErr}
 	}
 	d := decoder{doc: doc}
-	d.value("", root, target.Elem())
+	d.decodeValue("", root, target.Elem())
 	return doc, d.errs.Err()
 }
 
@@ -71,11 +71,11 @@
 // Errorf returns an error for the value at key. If the file does not contain the
 // key, the error has the line of the innermost enclosing key that it contains.
 func (d *Document) Errorf(key, format string, args ...any) *FieldError {
-	return &FieldError{File: d.file, Line: d.line(key), Key: key, Msg: fmt.Sprintf(format, args...)}
+	return &FieldError{File: d.file, Line: d.lineOfKey(key), Key: key, Msg: fmt.Sprintf(format, args...)}
 }
 
-func (d *Document) line(key string) int {
-	for k := key; k != ""; k = parent(k) {
+func (d *Document) lineOfKey(key string) int {
+	for k := key; k != ""; k = parentKey(k) {
 		if line, ok := d.lines[k]; ok {
 			return line
 		}
@@ -83,46 +83,46 @@
 	return max(d.lines[""], 1)
 }
 
-// parent returns the key path without its last element.
-func parent(key string) string {
+// parentKey returns the key path without its last element.
+func parentKey(key string) string {
 	return key[:max(strings.LastIndexAny(key, ".["), 0)]
 }
 
 func (d *Document) lineAt(offset int) int {
-	return 1 + sort.SearchInts(d.breaks, offset)
+	return 1 + sort.SearchInts(d.newlines, offset)
 }
 
-func lineBreaks(src []byte) []int {
-	var breaks []int
+func newlineOffsets(src []byte) []int {
+	var offsets []int
 	for i, c := range src {
 		if c == '\n' {
-			breaks = append(breaks, i)
+			offsets = append(offsets, i)
 		}
 	}
-	return breaks
+	return offsets
 }
 
-func (d *Document) fault(offset int, msg string) *FieldError {
+func (d *Document) errorAt(offset int, msg string) *FieldError {
 	return &FieldError{File: d.file, Line: d.lineAt(offset), Msg: msg}
 }
 
 func (d *Document) parse() (*hujson.Value, *FieldError) {
 	if !utf8.Valid(d.src) {
-		return nil, d.fault(invalidUTF8(d.src), "not valid UTF-8")
+		return nil, d.errorAt(invalidUTF8Offset(d.src), "not valid UTF-8")
 	}
-	if offset, deep := tooDeep(d.src); deep {
-		return nil, d.fault(offset, fmt.Sprintf("nested deeper than %d levels", MaxDepth))
+	if offset, deep := exceedsMaxDepth(d.src); deep {
+		return nil, d.errorAt(offset, fmt.Sprintf("nested deeper than %d levels", MaxDepth))
 	}
 	root, err := hujson.Parse(d.src)
 	if err != nil {
-		return nil, d.syntaxFault(err)
+		return nil, d.syntaxError(err)
 	}
 	return &root, nil
 }
 
-// syntaxFault converts an error of the parser, taking the line from its message.
+// syntaxError converts an error of the parser, taking the line from its message.
 // The parser reports it nowhere else.
-func (d *Document) syntaxFault(err error) *FieldError {
+func (d *Document) syntaxError(err error) *FieldError {
 	msg := err.Error()
 	var line, column int
 	if _, scanErr := fmt.Sscanf(msg, "hujson: line %d, column %d:", &line, &column); scanErr != nil {
@@ -132,7 +132,7 @@
 	return &FieldError{File: d.file, Line: line, Msg: fmt.Sprintf("column %d: %s", column, cause)}
 }
 
-func invalidUTF8(src []byte) int {
+func invalidUTF8Offset(src []byte) int {
 	for i := 0; i < len(src); {
 		r, size := utf8.DecodeRune(src[i:])
 		if r == utf8.RuneError && size == 1 {
--- a/state/strictjson/fuzz_test.go
+++ b/state/strictjson/fuzz_test.go
@@ -17,7 +17,7 @@
 		var v sample
 		doc, err := DecodeDocument("f.json", src, &v)
 		if err != nil {
-			checkFaults(t, src, err)
+			checkErrors(t, src, err)
 			return
 		}
 		if !doc.Has("") {
@@ -34,15 +34,15 @@
 	})
 }
 
-func checkFaults(t *testing.T, src []byte, err error) {
-	var faults Errors
-	if !errors.As(err, &faults) || len(faults) == 0 {
+func checkErrors(t *testing.T, src []byte, err error) {
+	var errs Errors
+	if !errors.As(err, &errs) || len(errs) == 0 {
 		t.Fatalf("the error is not of type Errors or is empty: %v", err)
 	}
 	lines := 1 + bytes.Count(src, []byte("\n"))
-	for _, fault := range faults {
-		if fault.Line < 1 || fault.Line > lines || fault.Msg == "" {
-			t.Fatalf("error at line %d of %d: %q", fault.Line, lines, fault.Msg)
+	for _, fieldErr := range errs {
+		if fieldErr.Line < 1 || fieldErr.Line > lines || fieldErr.Msg == "" {
+			t.Fatalf("error at line %d of %d: %q", fieldErr.Line, lines, fieldErr.Msg)
 		}
 	}
 }
--- a/state/strictjson/strictjson_test.go
+++ b/state/strictjson/strictjson_test.go
@@ -102,7 +102,7 @@
 	is.NoErr(Decode("s.json", []byte("{/*"+open+"*/ \"name\": \"\\\""+open+"\" //"+open+"\n}"), &sample{}))
 }
 
-func TestDocumentPlacesLaterFaults(t *testing.T) {
+func TestDocumentErrorfReportsLine(t *testing.T) {
 	is := is.New(t)
 	doc, err := DecodeDocument("s.json", []byte("{\n\"tls\": {\n\"port\": 1},\n\"hosts\": [{}]}"), &sample{})
 	is.NoErr(err)
