--- a/coordination/owner/admission.go
+++ b/coordination/owner/admission.go
@@ -48,7 +48,7 @@
 	}
 	objective := s.objective(spec, p)
 	criticalPath := s.criticalPath(spec, p)
-	clientWaited := s.waitedLocked(p, spec.Patience)
+	clientWaited := s.waitedLocked(p, spec.ClientTimeout)
 	a := admission{objective: objective, due: objective - clientWaited, useful: s.usefulPeriod(spec, objective) - clientWaited, clientWaited: clientWaited}
 	for i := range spec.Steps {
 		n := s.placementRequest(p, &spec.Steps[i])
@@ -69,7 +69,7 @@
 	if clientWaited > 0 && a.useful < criticalPath && hasCapacity {
 		// By LateFactor an answer is of no use any more, but the client still waits for it and
 		// there is free capacity.
-		a.useful = spec.Patience
+		a.useful = spec.ClientTimeout
 	}
 	if a.lateEnd = s.predictLateEndLocked(now, spec, p, a.wait+criticalPath, a.useful); !s.usefulWhenLate(a.lateEnd, a.useful) {
 		a.reason, a.retryAfter = ReasonOverload, a.wait-max(a.waitLimit, 0)
@@ -116,8 +116,8 @@
 		return 0
 	}
 	useful := time.Duration(s.fleet.params.LateFactor * float64(objective))
-	if spec.Patience > 0 {
-		useful = min(useful, spec.Patience)
+	if spec.ClientTimeout > 0 {
+		useful = min(useful, spec.ClientTimeout)
 	}
 	return useful
 }
--- a/coordination/owner/admission_test.go
+++ b/coordination/owner/admission_test.go
@@ -46,10 +46,10 @@
 // submitTasks submits a job of one-core tasks of 100 ms. Its latency objective is 220 ms, and
 // its answer is useful for 660 ms.
 func (e *bestEffortFixture) submitTasks(id job.ID, tasks int, patience time.Duration) *Response {
-	spec := job.Spec{BestEffort: true, Patience: patience, Steps: []job.Step{{
+	spec := job.Spec{BestEffort: true, ClientTimeout: patience, Steps: []job.Step{{
 		Count: tasks, Demand: job.Demand{CPUMillis: 1000}, Estimate: 100 * time.Millisecond,
 	}}}
-	p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 2, Slack: 1.6, Target: 60 * time.Millisecond, TimeLimit: 1500 * time.Millisecond}
+	p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 2, Slack: 1.6, Target: 60 * time.Millisecond, RequestTimeout: 1500 * time.Millisecond}
 	got := &Response{Outcome: Unknown}
 	e.verdicts[id] = got
 	e.collect(e.Submit(e.now, id, spec, p, func(v Response) { *got = v }))
--- a/coordination/owner/crash.go
+++ b/coordination/owner/crash.go
@@ -69,7 +69,7 @@
 func (s *Shard) reportedLossesLocked(now time.Duration, fx *Effects, node string, lost []worker.RunState) {
 	for _, r := range lost {
 		j := s.jobs[r.Run.Task.Job]
-		if j == nil || j.removing || j.rec.State.Final() || j.rec.Policy.Once {
+		if j == nil || j.removing || j.rec.State.Final() || j.rec.Policy.AtMostOnce {
 			continue
 		}
 		t := s.taskLocked(j, r.Run.Task)
--- a/coordination/owner/events.go
+++ b/coordination/owner/events.go
@@ -68,7 +68,7 @@
 		s.supersededLocked(fx, node, r, j)
 		return
 	}
-	if t.phase == stopping && j.rec.Policy.Once && s.unrecordedEndLocked(j, r.Run) != nil {
+	if t.phase == stopping && j.rec.Policy.AtMostOnce && s.unrecordedEndLocked(j, r.Run) != nil {
 		// Only the record of the job's end prevents this task from being repeated, so the run's end
 		// is settled after that record is written.
 		t.phase = finished
@@ -102,7 +102,7 @@
 		}
 		s.runFailedLocked(now, fx, j, t, rec, node, r.Run)
 	default:
-		if j.rec.Policy.Once && r.End != job.NeverRan && !j.rec.State.Final() {
+		if j.rec.Policy.AtMostOnce && r.End != job.NeverRan && !j.rec.State.Final() {
 			t.phase = finished
 			t.settleWhenRecorded(node, Settlement{Run: r.Run})
 			s.failJobLocked(now, fx, j, FailureLost)
--- a/coordination/owner/lost_agents.go
+++ b/coordination/owner/lost_agents.go
@@ -18,7 +18,7 @@
 				if (t.phase == ordered || t.phase == active || t.phase == stopping) && lost(tid, t) {
 					fx.log(Decision{Kind: "run_lost", Job: id, Run: job.RunID{Task: tid, Number: t.number}, Node: t.node})
 					t.phase = idle
-					if j.rec.Policy.Once && !j.rec.State.Final() {
+					if j.rec.Policy.AtMostOnce && !j.rec.State.Final() {
 						s.failJobLocked(now, fx, j, FailureLost)
 					}
 				}
@@ -95,7 +95,7 @@
 		if j.rec.State.Final() {
 			continue
 		}
-		if startable && s.agentUnreached && j.rec.Policy.Once {
+		if startable && s.agentUnreached && j.rec.Policy.AtMostOnce {
 			s.failJobLocked(now, fx, j, FailureLost)
 			continue
 		}
--- a/coordination/owner/patience.go
+++ b/coordination/owner/patience.go
@@ -74,5 +74,5 @@
 		s.patience[p.Queue] = l
 	}
 	l.note(remaining)
-	return l.waited(remaining, p.TimeLimit)
+	return l.waited(remaining, p.RequestTimeout)
 }
--- a/coordination/owner/reconcile.go
+++ b/coordination/owner/reconcile.go
@@ -96,7 +96,7 @@
 // be started a third time beside that newer run, or the end would count although the newer run has
 // superseded it. A task that may not be repeated has no newer run.
 func (s *Shard) mustDeferEndLocked(j *jobState, t *task, r worker.RunState) bool {
-	return t.phase == inDoubt && r.Status == worker.Ended && len(s.unreconciled) > 0 && !j.rec.Policy.Once
+	return t.phase == inDoubt && r.Status == worker.Ended && len(s.unreconciled) > 0 && !j.rec.Policy.AtMostOnce
 }
 
 // discardDeferredEndLocked discards a deferred end because another run of the task was found, and
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -87,7 +87,7 @@
 	if u := l.usage[operator]; u != nil {
 		u.inFlight -= tasks
 		u.tokens += float64(tasks)
-		u.recent.Forget(tasks)
+		u.recent.RemoveLatest(tasks)
 	}
 }
 
--- a/daemon/clients/apply.go
+++ b/daemon/clients/apply.go
@@ -20,7 +20,7 @@
 
 // Apply implements httpapi.Declarer. It replaces an operator's declaration if base
 // is the version in force.
-func (d *Declarations) Apply(ctx context.Context, operator string, base state.Version, raw []byte) state.Applied {
+func (d *Declarations) Apply(ctx context.Context, operator string, base state.Version, raw []byte) state.ApplyResult {
 	file, err := declaration.Parse(operator, raw)
 	if err != nil {
 		return notApplied(base, state.ReasonMalformed, err.Error())
@@ -43,8 +43,8 @@
 	return out
 }
 
-func notApplied(version state.Version, r state.Reason, detail string) state.Applied {
-	return state.Applied{Version: version, Outcome: state.NotRun, Reason: r, Detail: detail}
+func notApplied(version state.Version, r state.Reason, detail string) state.ApplyResult {
+	return state.ApplyResult{Version: version, Outcome: state.NotRun, Reason: r, Detail: detail}
 }
 
 // applyOperation is an apply in progress.
@@ -57,7 +57,7 @@
 	file     *declaration.File
 }
 
-func (a *applyOperation) run(ctx context.Context) state.Applied {
+func (a *applyOperation) run(ctx context.Context) state.ApplyResult {
 	for {
 		all, err := a.fenceAndRead(ctx)
 		if err == nil {
@@ -67,10 +67,10 @@
 			}
 			err = a.write(ctx, next)
 			if err == nil {
-				return state.Applied{Version: next.Version, Outcome: state.Complete}
+				return state.ApplyResult{Version: next.Version, Outcome: state.Complete}
 			}
 			if ctx.Err() != nil || !certainlyNotWritten(err) {
-				return state.Applied{Version: a.base, Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: err.Error()}
+				return state.ApplyResult{Version: a.base, Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: err.Error()}
 			}
 		}
 		klog.V(1).InfoS("Retrying an apply", "operator", a.operator, "epoch", a.epoch, "err", err)
@@ -111,14 +111,14 @@
 // prepareRecord returns the record that replaces the operator's declaration, or the
 // result that ends the apply without a write: a refusal, or success if the
 // declaration is already in force.
-func (a *applyOperation) prepareRecord(all map[string]*declarationInForce) (*declarationRecord, *state.Applied) {
+func (a *applyOperation) prepareRecord(all map[string]*declarationInForce) (*declarationRecord, *state.ApplyResult) {
 	old := all[a.operator]
 	current := state.Version(0)
 	if old != nil {
 		current = old.Version
 		if current == a.base+1 && old.File == string(a.raw) {
 			// The operator retries an apply whose response was lost.
-			return nil, &state.Applied{Version: current, Outcome: state.Complete}
+			return nil, &state.ApplyResult{Version: current, Outcome: state.Complete}
 		}
 	}
 	if current != a.base {
--- a/daemon/clients/declarations.go
+++ b/daemon/clients/declarations.go
@@ -21,7 +21,7 @@
 
 // DeclarationsPartition is the partition of the store that holds the declarations,
 // with one record per operator.
-var DeclarationsPartition = store.Partition{Topic: "keyed.declarations", Part: 0}
+var DeclarationsPartition = store.Partition{Topic: "keyed.declarations", Number: 0}
 
 // maxHistory is the number of changes in the history of an operator's declaration or
 // of a failure domain's drain. It covers at least a day: an operator makes about
--- a/daemon/clients/drains.go
+++ b/daemon/clients/drains.go
@@ -19,7 +19,7 @@
 
 // drainsPartition is the partition of the store that holds the drains, with one record
 // per failure domain that has ever been drained.
-var drainsPartition = store.Partition{Topic: "keyed.drains", Part: 0}
+var drainsPartition = store.Partition{Topic: "keyed.drains", Number: 0}
 
 // drainProducer is the name of the producer of all drains. Concurrent writers use the same
 // name with different epochs.
@@ -107,7 +107,7 @@
 // Set drains a failure domain or ends its drain. It is idempotent: if the domain is already
 // in that state, Set writes nothing and reports success, so an operator can retry a request
 // whose response was lost.
-func (d *Drains) Set(ctx context.Context, domain string, drained bool) state.Applied {
+func (d *Drains) Set(ctx context.Context, domain string, drained bool) state.ApplyResult {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	w := newFencedWriter(d.store, drainsPartition, drainProducer)
@@ -118,7 +118,7 @@
 			klog.InfoS("Set the drain of a failure domain", "domain", domain, "drained", drained, "version", out.Version)
 			return out
 		case !certainlyNotWritten(err) && w.appendSent:
-			return state.Applied{Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: err.Error()}
+			return state.ApplyResult{Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: err.Error()}
 		case ctx.Err() != nil:
 			return notApplied(0, state.ReasonStoreUnavailable, err.Error())
 		}
@@ -127,10 +127,10 @@
 	}
 }
 
-func (d *Drains) trySet(ctx context.Context, w *fencedWriter, domain string, drained bool) (state.Applied, error) {
+func (d *Drains) trySet(ctx context.Context, w *fencedWriter, domain string, drained bool) (state.ApplyResult, error) {
 	records, err := w.fence(ctx, drainEpoch)
 	if err != nil {
-		return state.Applied{}, err
+		return state.ApplyResult{}, err
 	}
 	next := drainRecord{}
 	for _, r := range records {
@@ -139,12 +139,12 @@
 		}
 		old, err := parseDrainRecord(r)
 		if err != nil {
-			return state.Applied{}, err
+			return state.ApplyResult{}, err
 		}
 		next = *old
 	}
 	if next.Drained == drained {
-		return state.Applied{Version: next.Version, Outcome: state.Complete}, nil
+		return state.ApplyResult{Version: next.Version, Outcome: state.Complete}, nil
 	}
 	next.Drained, next.Epoch = drained, w.epoch
 	next.Version++
@@ -154,11 +154,11 @@
 	next.History = next.History[max(0, len(next.History)-maxHistory):]
 	value, err := json.Marshal(&next)
 	if err != nil {
-		return state.Applied{}, errors.Wrap(err, "encode drain record")
+		return state.ApplyResult{}, errors.Wrap(err, "encode drain record")
 	}
 	if err := w.append(ctx, store.Record{Key: domain, Value: value}); err != nil {
-		return state.Applied{}, err
+		return state.ApplyResult{}, err
 	}
 	d.update(domain, &next)
-	return state.Applied{Version: next.Version, Outcome: state.Complete}, nil
+	return state.ApplyResult{Version: next.Version, Outcome: state.Complete}, nil
 }
--- a/protocol/api/answer.go
+++ b/protocol/api/answer.go
@@ -77,7 +77,7 @@
 func (a Answer) Encode() ([]byte, error) { return marshal(a) }
 
 func statsOf(s state.Stats) *Stats {
-	return &Stats{LongestMS: floatMS(s.Longest), TotalMS: floatMS(s.Total), CoreMS: floatMS(s.Cores), ElapsedMS: floatMS(s.Elapsed)}
+	return &Stats{LongestMS: floatMS(s.Longest), TotalMS: floatMS(s.Total), CoreMS: floatMS(s.CoreTime), ElapsedMS: floatMS(s.Elapsed)}
 }
 
 func floatMS(d time.Duration) float64 {
