--- a/coordination/worker/capacity.go
+++ b/coordination/worker/capacity.go
@@ -6,14 +6,14 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// What a backend server says that it has may shrink and grow again while tasks run there.
-// The newest word counts from the moment it is read: what runs keeps its room, so that the
-// free room may be negative, and what waits and can't start soon goes back to its owner.
+// The capacity that a backend server reports may shrink and grow while tasks run there. The newest
+// report applies from the moment it is read. Runs keep what they occupy, so the free capacity may
+// become negative; waiting orders that can't start soon are returned to their owners.
 
-// sayLocked takes in a word of the backend server on its capacity, said at a time of its
-// clock. A word from before the one that is known changes nothing: calls overtake one
-// another, and room that is gone would be given out again. It reports whether the capacity
-// has changed.
+// sayLocked applies a capacity that the backend server reported at clockMS of its own clock, and
+// reports whether the capacity has changed. A report older than the last one applied is ignored:
+// answers and reports may arrive out of order, and a stale one would give out capacity that no
+// longer exists.
 func (w *Worker) sayLocked(capacity job.Demand, clockMS int64) bool {
 	if clockMS < w.saidAt {
 		return false
@@ -28,16 +28,17 @@
 	return true
 }
 
-// Varies reports whether the present instance has changed its capacity. What an earlier
-// life of the agent knew of such a one may have shrunk since.
+// Varies reports whether the present instance has changed its capacity since it first reported. A
+// capacity that an earlier incarnation of the agent stored for such an instance may be too large by
+// now.
 func (w *Worker) Varies() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.varies
 }
 
-// excess is how many of the runs have to end before one more fits, since they take more
-// than there is.
+// excess estimates how many runs have to end before one more fits, from their mean demand. It is
+// zero while the runs don't occupy more than the capacity.
 func (o *occupancy) excess(capacity job.Demand) int {
 	if o.runs == 0 {
 		return 0
@@ -52,11 +53,12 @@
 	return max(n(o.used.CPUMillis, capacity.CPUMillis), n(o.used.MemoryMB, capacity.MemoryMB), n(o.used.GPUs, capacity.GPUs))
 }
 
-// overfullWait is the longest expected wait with which an order that is late already stays
-// at a server that has more than fits: as long as owners bind tasks for.
+// overfullWait is the longest expected wait for which an order that is already late stays at an
+// overcommitted server. Owners reserve capacity for a task for as long.
 const overfullWait = 25 * time.Millisecond
 
-// returnUnfitLocked hands back what waits and can't start here in time, once less fits.
+// returnUnfitLocked returns the waiting orders that no longer fit, or can't start in time, after
+// the capacity has shrunk.
 func (w *Worker) returnUnfitLocked(now time.Duration, fx *Effects) {
 	for id, r := range w.runs {
 		if r.phase != waiting {
--- a/coordination/worker/claims.go
+++ b/coordination/worker/claims.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Claim is an owner's demand to be the one whose orders count for a shard.
+// Claim is an owner's request to become the only owner of a shard whose orders this agent accepts.
 type Claim struct {
 	Shard   int
 	Epoch   int64
@@ -12,24 +12,25 @@
 	Owner   string
 }
 
-// Claimed answers a Claim with every run of the shard that is known here.
+// Claimed is the answer to a Claim. It lists every run of the shard that is known here.
 type Claimed struct {
 	Claim
-	// Effects are to be carried out: the claim may show that others are gone.
+	// Effects are to be carried out by the driver: a claim may show that other owners have been
+	// replaced, and their runs are stopped.
 	Effects Effects
-	// Refused is set when a newer owner, or a newer link of this one, is known, and
-	// KnownEpoch is the owner's epoch then.
+	// Refused is set when a newer owner, or a newer link of the same owner, is known. KnownEpoch is
+	// then the epoch of the known owner.
 	Refused    bool
 	KnownEpoch int64
 	Runs       []RunState
-	// Lost has the runs that were lost with the backend server lately.
+	// Lost lists the runs of the shard that were recently lost with a backend server.
 	Lost []RunState
 }
 
-// Claim makes the owner the shard's only one, unless a newer one is known.
-// Orders of older epochs and of older sessions that are still on their way are
-// dropped from here on. Otherwise an order that overtook the claim on another
-// connection would start a task that the new owner starts elsewhere.
+// Claim makes c.Owner the only owner of the shard, unless a newer one is known. From then on,
+// orders of older epochs and sessions that are still in transit are dropped. Otherwise an order
+// that arrives after the claim on another connection would start a task that the new owner starts
+// elsewhere.
 func (w *Worker) Claim(now time.Duration, c Claim) Claimed {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -47,9 +48,9 @@
 		if r.order.Shard == c.Shard {
 			r.order.Epoch = c.Epoch
 		} else if r.known || c.Shard < w.bounds.Shards {
-			// Only the shard of a job and the private ones, of best-effort
-			// jobs, can know a run of an earlier life. Another shard would
-			// settle its end as nobody's before anyone has recorded it.
+			// A run of an earlier incarnation is reported only to the shard that its job ID maps to
+			// and to the private shards of best-effort jobs. Any other shard would settle its end
+			// as unknown before the owner has recorded it.
 			continue
 		}
 		out.Runs = append(out.Runs, r.state())
@@ -58,11 +59,12 @@
 	return out
 }
 
-// ownerMemory is how long the epoch of a silent owner is kept: longer than any
-// order of it can be on its way.
+// ownerMemory is how long the epoch of a silent owner is kept. It is longer than any order of that
+// owner can be in transit.
 const ownerMemory = time.Minute
 
-// forgetOwnersLocked drops shards whose owners have been silent for long.
+// forgetOwnersLocked drops the state of shards whose owners have been silent for longer than
+// ownerRetention.
 func (w *Worker) forgetOwnersLocked(now time.Duration) {
 	for id, s := range w.shards {
 		if now-s.heard > ownerMemory {
@@ -83,8 +85,8 @@
 	return s
 }
 
-// Release takes in that an owner has given a shard up. Its runs go on until the
-// next owner claims them, or for as long as an owner may be silent.
+// Release notes that an owner has given up a shard. The runs of the shard go on until the next
+// owner claims them, or until the owner timeout has passed.
 func (w *Worker) Release(shard int, owner string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -93,9 +95,9 @@
 	}
 }
 
-// Unlinked takes in that an owner's link has ended. An owner that lives dials
-// again at once; one that does not is given less time than a silent one, since
-// the client that it has served sends its job again to another.
+// Unlinked notes that an owner's link has ended. A live owner reconnects at once. The time allowed
+// for that is shorter than the timeout of a silent owner, because the client of a dead owner
+// resubmits its job to another one.
 func (w *Worker) Unlinked(now time.Duration, owner string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -106,12 +108,12 @@
 	}
 }
 
-// Heard notes a sign of life of an owner. It returns false when the owner has
-// been silent for too long already: its new owner may count on that silence, so
-// a message that a suspension or a healed link delivers late must not revive
-// its runs. The owner has to claim its shards anew. Those that it doesn't claim
-// then are not its own any more: it may have given one up while the link was
-// down, and each frame of a sound link would count as one of a silent owner.
+// Heard notes that a message from an owner has arrived. It returns false if the owner had already
+// been silent for the owner timeout: its successor may have relied on that, so a message that a
+// suspension of the host or a recovered link delivers late must not keep its runs alive. The owner
+// then has to claim its shards again. Shards that it doesn't claim are no longer attributed to it:
+// it may have given one up while the link was down, and every later frame would otherwise count as
+// one of a silent owner.
 func (w *Worker) Heard(now time.Duration, owner string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/coordination/worker/crash.go
+++ b/coordination/worker/crash.go
@@ -7,52 +7,52 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// A task may crash each backend server that starts it. Started again and again it takes
-// one server after another down, with all that runs beside it. The owner of a task decides
-// whether to go on with it; the agent tells what it has seen: how many runs were on the
-// server when it was lost, and whether another instance came up after that while the agent
-// ran on. An agent that was lost with its host tells nothing, so that a host without power
-// makes no task a suspect, and neither does a server that was draining or has said that it
-// leaves.
-
-// Loss is what an agent tells of a run that was lost with its backend server.
+// A task may crash every backend server that starts it. If it is retried without limit, it takes
+// down one server after another, together with all runs beside it. The task's owner decides whether
+// to retry it. The agent reports what it has observed: how many runs were on the server when it was
+// lost, and whether another instance came up while the agent kept running. An agent that is lost
+// together with its host reports nothing, so a power failure makes no task a suspect. Neither does
+// the loss of a server that was draining or had deregistered.
+
+// Loss is what an agent reports about the backend server of a run that was lost with it.
 type Loss uint8
 
 const (
-	// NotLost: the run has not ended with its server, or as was announced.
+	// NotLost means that the run didn't end with its server, or that the shutdown was planned.
 	NotLost Loss = iota
-	// LossSuspected: the server does not answer, and the run's lease has run out.
+	// LossSuspected means that the server doesn't answer and the lease of the run has expired.
 	LossSuspected
-	// LossConfirmed: another instance has come up in the server's place.
+	// LossConfirmed means that another instance has replaced the server.
 	LossConfirmed
-	// LossCleared: the same instance answers again, or it has left as planned.
+	// LossCleared means that the same instance answers again, or that it has deregistered as
+	// planned.
 	LossCleared
 )
 
-// Caution is how an order's run is kept apart from others on its server, so that the next
-// crash tells more of who has brought it about.
+// Caution is how strictly a run is isolated from others on its server, so that the next crash
+// narrows down which run caused it.
 type Caution uint8
 
 const (
-	// NoCaution: the run may be beside any other.
+	// NoCaution allows the run beside any other.
 	NoCaution Caution = iota
-	// Apart: it must not be beside another suspect.
+	// Apart forbids the run beside another suspect.
 	Apart
-	// Alone: nothing else may be on the server, for as long as the run is expected to take.
+	// Alone forbids any other run on the server for as long as the run is expected to take.
 	Alone
 )
 
 const (
-	// lostMemory is how long runs that were lost with a server are remembered: longer than
-	// a backend server takes to come back, and an owner to reach an agent again.
+	// lostMemory is how long the runs that were lost with a server are remembered. It is longer
+	// than a backend server takes to come back and an owner takes to reach an agent again.
 	lostMemory = time.Minute
-	// mostLost bounds the servers that are remembered so: one that crashes as soon as it
-	// is up does so every few seconds.
+	// mostLost bounds the number of lost servers that are remembered. A server that crashes as soon
+	// as it is up does so every few seconds.
 	mostLost = 8
 )
 
-// lostServer is an instance that was lost, with the runs that went with it and what is
-// known of its end. One that was cut off and is there again may be lost once more.
+// lostServer is an instance that was lost, with the runs that were lost with it and what is known
+// about the loss. An instance that was only cut off and answers again may be lost once more.
 type lostServer struct {
 	instance string
 	at       time.Duration
@@ -60,8 +60,7 @@
 	runs     []lostRun
 }
 
-// lostRun is what is kept of a run that was lost. Its epoch is that of its shard's last
-// known owner.
+// lostRun identifies a run that was lost. The epoch is that of the last known owner of its shard.
 type lostRun struct {
 	shard    int
 	epoch    int64
@@ -69,14 +68,15 @@
 	suspects int
 }
 
-// occupies reports whether a run may be on the backend server.
+// occupies reports whether the run may be on the backend server.
 func (r *run) occupies() bool { return r.phase != waiting && r.phase != ended }
 
-// blameless reports whether the backend server's end says nothing of its runs.
+// blameless reports whether the loss of the backend server is planned and therefore doesn't make
+// its runs suspects.
 func (w *Worker) blameless() bool { return w.server.Draining || w.closing }
 
-// loseLocked ends a run that was lost with its server. One of several suspects may be
-// the cause.
+// loseLocked ends a run that was lost with its server. suspects is the number of runs on the
+// server, any of which may be the cause. With NotLost the run lapses without a loss being reported.
 func (w *Worker) loseLocked(now time.Duration, fx *Effects, id job.RunID, r *run, what Loss, suspects int, reason string) {
 	if what == NotLost || !r.occupies() {
 		w.dropLocked(fx, id, r, job.Lapsed, reason)
@@ -88,7 +88,8 @@
 	w.dropLocked(fx, id, r, job.Lapsed, reason)
 }
 
-// lostServerLocked returns what is kept of the present instance, which is lost now.
+// lostServerLocked returns the record of the present instance as lost at now, and creates it if
+// there is none.
 func (w *Worker) lostServerLocked(now time.Duration, what Loss) *lostServer {
 	if n := len(w.lost); n > 0 && w.lost[n-1].at == now && w.lost[n-1].instance == w.server.Instance {
 		return w.lost[n-1]
@@ -101,8 +102,8 @@
 	return lost
 }
 
-// explainLocked tells the owners of runs that were lost with the present instance what
-// became of it.
+// explainLocked reports to the owners of runs that were lost with the present instance whether the
+// suspected loss is confirmed or cleared.
 func (w *Worker) explainLocked(fx *Effects, what Loss) {
 	for _, lost := range w.lost {
 		if lost.instance != w.server.Instance || lost.what != LossSuspected {
@@ -116,10 +117,10 @@
 	}
 }
 
-// lostForLocked returns the runs of a shard that were lost, for the answer to a claim. The
-// news of them may have been lost with the last link, or with the owner before: taken for
-// runs that just are not there, they would be started as if no server had been lost under
-// them.
+// lostForLocked returns the lost runs of a shard for the answer to a claim. The events that
+// reported them may have been lost with the previous link or the previous owner. The new owner
+// would take runs that are merely absent for not started, and retry them as if no server had been
+// lost under them.
 func (w *Worker) lostForLocked(c Claim) []RunState {
 	var out []RunState
 	for _, lost := range w.lost {
@@ -137,13 +138,13 @@
 	return out
 }
 
-// forgetLostLocked forgets servers that were lost long ago.
+// forgetLostLocked forgets servers that were lost more than lostMemory ago.
 func (w *Worker) forgetLostLocked(now time.Duration) {
 	w.lost = slices.DeleteFunc(w.lost, func(l *lostServer) bool { return now-l.at > lostMemory })
 }
 
-// reservedLocked reports whether the backend server is kept for one run: it is there, or
-// waits until the others have ended.
+// reservedLocked reports whether the backend server is reserved for one exclusive run, which is
+// either active or waiting for the others to end.
 func (w *Worker) reservedLocked(now time.Duration) bool {
 	for _, r := range w.runs {
 		if r.order.Caution == Alone && (r.phase == waiting || r.occupies() && r.keepsOthersOff(now)) {
@@ -153,17 +154,18 @@
 	return false
 }
 
-// keepsOthersOff reports whether a run that was to be alone still is: beyond its expected
-// time a task that takes long would keep its server for itself.
+// keepsOthersOff reports whether the run still has the server to itself. It does so for its
+// expected run time only: a task that takes much longer would otherwise block its server.
 func (r *run) keepsOthersOff(now time.Duration) bool {
 	return r.order.Caution == Alone && now-r.startedAt < max(r.order.Estimate, leastAlone)
 }
 
-// leastAlone is how long a suspect is alone at least: estimates are off by a third, and a
-// crash a few milliseconds after the expected end would have others under suspicion.
+// leastAlone is the minimum time for which an exclusive run has the server to itself. Estimates are
+// off by a third, and a crash a few milliseconds after the expected end would make other runs
+// suspects.
 const leastAlone = 150 * time.Millisecond
 
-// admits reports whether an order may start beside what is on the server.
+// admits reports whether the isolation rules allow an order to start beside the runs on the server.
 func (o *occupancy) admits(order *Order) bool {
 	switch {
 	case o.closed:
@@ -176,7 +178,8 @@
 	return true
 }
 
-// cautiousLocked counts the suspects that are here or wait.
+// cautiousLocked returns the number of active and waiting runs of tasks under which servers were
+// lost.
 func (w *Worker) cautiousLocked() int {
 	n := 0
 	for _, r := range w.runs {
--- a/coordination/worker/drain.go
+++ b/coordination/worker/drain.go
@@ -2,14 +2,13 @@
 
 import "time"
 
-// ReasonDomainDrained is why an order is refused or handed back in a failure domain in
-// which operators want nothing newly started.
+// ReasonDomainDrained is the reason for refusing or returning an order while the failure domain is
+// drained.
 const ReasonDomainDrained = "domain_drained"
 
-// DrainDomain says whether the failure domain is drained. This is the last place at which an
-// order can be kept from being started: whoever sent it may not know of the drain yet, or
-// may have sent it before. What runs goes on, and what waits goes back to its owner as not
-// run.
+// DrainDomain sets whether the failure domain is drained. This is the last point at which the start
+// of an order can be prevented: its sender may not know of the drain yet, or may have sent it
+// before. Active runs go on; waiting orders are returned to their owners as not run.
 func (w *Worker) DrainDomain(now time.Duration, yes bool) Effects {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/coordination/worker/former.go
+++ b/coordination/worker/former.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Owners are named by node and life, "node/life". A process that claims under a new
-// life shows that the earlier one of its node is gone for certain. What that one had
-// ordered of best-effort jobs is for nobody: nothing of them is recorded, and the new
-// life knows none of them. After all processes were killed at once such runs kept
-// every worker busy until they had been silent for long enough, 0.4 s in which nothing
-// was served.
+// Owners are named "node/life", by their node and the incarnation of their process. A process that
+// claims shards under a new incarnation shows that the earlier incarnation of its node is gone. The
+// best-effort runs that the earlier one ordered are of no use any more: nothing of them is
+// recorded, and the new incarnation doesn't know them. If they were left until the adoption timeout
+// after all processes were killed at once, they would keep every worker busy, and nothing would be
+// served for 0.4 s.
 
-// NodeOf returns the node of an owner's name.
+// NodeOf returns the node part of an owner's name.
 func NodeOf(owner string) string {
 	node, _, _ := strings.Cut(owner, "/")
 	return node
 }
 
-// Former names the owners whose orders an earlier life of this agent has taken, where
-// all were of best-effort jobs. They are all that a run which that life has started can
-// be of.
+// Former sets the owners whose orders an earlier incarnation of this agent has accepted. It is
+// called only if all these orders were of best-effort jobs. Every run that the earlier incarnation
+// started then belongs to one of these owners.
 //
-// Without this an end of such a run waits for the owner of the shard that its ID leads
-// to, and holds up all that the backend server lists behind it. Where no job is recorded
-// no owner claims anything, and a list that is full for good stops the agent.
+// Without this, the end of such a run waits for the owner of the shard that its job ID maps to and
+// blocks the acknowledgement of all later ends. Where no job is recorded, no such owner ever
+// claims, and a full list of ends would stop the agent for good.
 func (w *Worker) Former(owners []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -35,8 +35,8 @@
 	}
 }
 
-// replacedLocked takes in that an owner has claimed a shard, and has the runs of the
-// earlier life of its node stopped.
+// replacedLocked notes that an owner has claimed a private shard, and stops the runs of earlier
+// incarnations of the same node.
 func (w *Worker) replacedLocked(now time.Duration, fx *Effects, owner string) {
 	node := NodeOf(owner)
 	for id, s := range w.shards {
@@ -53,8 +53,8 @@
 	w.silenceLocked(now, fx)
 }
 
-// disownLocked ends the wait for the owners of runs that an earlier life has started:
-// all that they can be of are gone.
+// disownLocked ends the adoption period of runs that an earlier incarnation of this agent started,
+// because all owners they could belong to are gone.
 func (w *Worker) disownLocked(now time.Duration) {
 	for _, r := range w.runs {
 		if !r.known {
@@ -63,11 +63,11 @@
 	}
 }
 
-// orphanAfter is how long an end may wait for the owner of its shard before it counts as
-// waiting for nobody: owners that are linked claim within a quarter of a second.
+// orphanAfter is how long an end may wait for the owner of its shard before it counts as orphaned.
+// Owners that are linked claim within a quarter of a second.
 const orphanAfter = time.Second
 
-// Orphaned reports whether an end of an earlier life's run waits for an owner that has
+// Orphaned reports whether the end of a run of an earlier incarnation waits for an owner that has
 // not claimed here.
 func (w *Worker) Orphaned(now time.Duration) bool {
 	w.mu.Lock()
--- a/coordination/worker/health.go
+++ b/coordination/worker/health.go
@@ -6,31 +6,29 @@
 )
 
 const (
-	// failuresInRow of runs suspend a backend server. Tasks fail by their own
-	// fault about twice in a thousand, so three in a row are no accident, and
-	// a server that fails all it starts wastes three attempts of a job each.
+	// failuresInRow is the number of consecutive failed runs that suspends a backend server. Tasks
+	// fail by their own fault about twice in a thousand, so three failures in a row are not a
+	// coincidence. Until a server that fails every run is suspended, it costs three jobs an attempt
+	// each.
 	failuresInRow = 3
-	// suspension is the first pause before a suspended backend server is
-	// tried again with one run; it doubles up to maxSuspension. A server that
-	// works again and is left out costs its share of the room, a try costs one
-	// attempt of one task.
+	// suspension is the first backoff before a suspended backend server is probed with one run. It
+	// doubles up to maxSuspension. A longer backoff leaves the capacity of a recovered server
+	// unused; each probe of a broken one costs one attempt of one task.
 	suspension    = 300 * time.Millisecond
 	maxSuspension = 1200 * time.Millisecond
 )
 
-// health judges a backend server by how its runs end. A server that fails at
-// once looks free, so it would draw all the work: the pattern is a black hole.
-// Guarded by Worker.mu.
+// health assesses a backend server by how its runs end. A server that fails runs at once looks idle
+// and would attract all the work, like a black hole. Guarded by Worker.mu.
 type health struct {
 	row       int
 	suspended bool
 	until     time.Duration
 	pause     time.Duration
-	// ratio is the mean of the measured run time over the expected one; zero
-	// before the first.
+	// ratio is the moving average of actual over expected run time; zero before the first run.
 	ratio   float64
 	learned time.Duration
-	// coldUntil is when the server stops being cold, by its last word.
+	// coldUntil is when the server stops being cold, according to its last report.
 	coldUntil time.Duration
 }
 
@@ -49,17 +47,17 @@
 	h.until = now + h.pause
 }
 
-// done clears the doubts after a run that was done.
+// done resets the failure count and the suspension after a successful run.
 func (h *health) done() { *h = health{ratio: h.ratio, learned: h.learned, coldUntil: h.coldUntil} }
 
-// ratioWeight is the weight of one run's ratio: about the last ten count, a
-// quarter of a second of work of a busy server.
+// ratioWeight is the weight of one run in the moving average. About the last ten runs count, which
+// take a busy server a quarter of a second.
 const ratioWeight = 0.1
 
-// noticeDelay is added to the expected time: an end is noticed some milliseconds
-// late, on a busy host some tens. It is no factor: measured on tasks of 5 ms it
-// would make a server look ten times slow, and a task of seconds be refused
-// beside idle servers. A server that is slow in earnest shows all the same.
+// noticeDelay is added to the expected run time, because the agent detects an end some milliseconds
+// late, on a busy host some tens of milliseconds. It is added and not applied as a factor: a factor
+// taken from tasks of 5 ms would make a server look ten times slower, and tasks of seconds would be
+// refused although servers are idle. A server that is really slow is still detected.
 const noticeDelay = 50 * time.Millisecond
 
 func (h *health) learn(now, work, expected time.Duration) {
@@ -74,13 +72,13 @@
 	h.ratio += ratioWeight * (ratio - h.ratio)
 }
 
-// slowMemory is how long a slow server is remembered without news of it. Owners
-// give it nothing while others are faster, so it has no chance to show that it
-// is well again: it would stand idle for good.
+// slowMemory is the time constant with which a slowdown decays without new runs. Owners don't use a
+// slow server while others are faster, so it has no chance to show that it has recovered and would
+// otherwise stay idle for good.
 const slowMemory = time.Second
 
-// slowdown is the ratio as far as it is out of the ordinary: estimates are off
-// by a third, so a smaller one says nothing.
+// slowdown returns the decayed ratio, or 1 if it is below 1.5: estimates are off by a third, so a
+// smaller ratio is not significant.
 func (h *health) slowdown(now time.Duration) float64 {
 	age := float64(now-h.learned) / float64(slowMemory)
 	ratio := 1 + (h.ratio-1)*math.Exp(-age)
@@ -90,13 +88,12 @@
 	return ratio
 }
 
-// coldSlowdown is how much longer runs are expected to take on a cold server until its runs
-// have shown it.
+// coldSlowdown is the slowdown assumed for a cold server until its runs have shown the actual one.
 const coldSlowdown = 2
 
-// expectCold takes in for how long the server says that it is cold. It is expected to be slow
-// from its first run on: otherwise it is given its full part of the work until some runs
-// have ended, and all of them are late.
+// expectCold sets how much longer the server reports to be cold. A cold server is assumed to be
+// slow from its first run on. Otherwise it would get its full share of the work until some runs
+// have ended, and all of these would be late.
 func (h *health) expectCold(now, cold time.Duration) {
 	was := now < h.coldUntil
 	h.coldUntil = now + cold
@@ -109,20 +106,18 @@
 }
 
 const (
-	// stallOverdue is the sum, over the running tasks, of the time beyond the
-	// expected run time in units of it, at which a server that ends nothing
-	// counts as stalled. A task counts once at most: its own estimate may be
-	// far off, that of three at a time with no end among all is not.
+	// stallOverdue is the threshold at which a server on which no run ends counts as stalled. It
+	// applies to the sum of overdue over the active runs. A run contributes at most 1: a single
+	// estimate may be far off, but not those of three runs at a time when no run ends at all.
 	stallOverdue = 3.0
-	// stallQuiet is the least time without an end. A busy server ends a run
-	// each 20 ms.
+	// stallQuiet is the minimum time without a successful end before a server counts as stalled. A
+	// busy server ends a run every 20 ms.
 	stallQuiet = 150 * time.Millisecond
 )
 
-// stallLocked finds a server on which tasks stand still: it answers, lists its
-// runs as active and ends none. Its runs are stopped, so that their owners
-// start them elsewhere, and nothing is sent to it for a while; otherwise each
-// job with one task there is lost.
+// stallLocked detects a server that answers and lists its runs as active but completes none. Its
+// runs are stopped so that their owners start them elsewhere, and the server is suspended.
+// Otherwise every job with a task there would be lost.
 func (w *Worker) stallLocked(now time.Duration, fx *Effects) {
 	if w.health.suspended || w.failing || now-w.lastDone < stallQuiet {
 		return
@@ -140,16 +135,16 @@
 	w.health.suspend(now)
 	w.returnWaitingLocked(fx, "stalled")
 	for _, r := range w.runs {
-		// A run that may not be repeated is left to end: stopped, its job would
-		// fail for certain.
+		// A run that must not be repeated is left to end: stopping it would fail its job for
+		// certain.
 		if r.phase == running && !r.stopWanted && !r.order.Once && r.overdue(now) > 0 {
 			w.stopLocked(now, fx, r, "stalled")
 		}
 	}
 }
 
-// overdue is the time that a run has been at work beyond its expected time, in
-// units of that, once at most.
+// overdue returns by how much the run exceeds its expected run time, in units of that time, between
+// 0 and 1.
 func (r *run) overdue(now time.Duration) float64 {
 	if r.order.Estimate <= 0 {
 		return 0
@@ -157,7 +152,7 @@
 	return min(1, max(0, float64(now-r.startedAt)/float64(r.order.Estimate)-1))
 }
 
-// probing reports whether one run is to show that the server works again.
+// probing reports whether the server may get only one run, which shows whether it works again.
 func (h *health) probing() bool { return h.row >= failuresInRow }
 
 func (h *health) tick(now time.Duration) {
--- a/coordination/worker/hold.go
+++ b/coordination/worker/hold.go
@@ -12,26 +12,31 @@
 // HoldCall asks the driver to extend the lease and to list the runs.
 type HoldCall struct {
 	Instance string
-	// Seq numbers the calls; it goes back with the answer.
+	// Seq numbers the calls. The driver passes the call back with the answer.
 	Seq   int64
 	Acked int64
-	// Deadline is on the backend server's clock; zero extends nothing.
+	// Deadline is the end of the lease on the backend server's clock, in milliseconds; zero doesn't
+	// extend the lease.
 	Deadline int64
 	// Idle is set while nothing occupies the backend server.
 	Idle bool
-	// Hurry is set while a start is in doubt.
+	// Hurry is set while the outcome of a start is unknown, so that the driver asks for the lists
+	// soon.
 	Hurry bool
-	// Known is set while the backend server lists ends that are known here and
-	// can't be acknowledged yet. It answers at once then, with nothing new.
+	// Known is set while the backend server lists ends that are known here but can't be
+	// acknowledged yet. The backend server then answers at once with nothing new, so the driver has
+	// to pace the calls.
 	Known bool
-	// Lossy is set while answers of the backend server have been missing.
+	// Lossy is set while answers of the backend server have recently been missing.
 	Lossy bool
-	// First is set until this life of the agent has seen the lists: nothing is
-	// done before, so the call should wait for nothing.
+	// First is set until this incarnation of the agent has seen the lists. Nothing else is done
+	// before, so the call should not wait for an end.
 	First bool
-	// Patience is how long to wait for the answer beyond the time that it is to take.
+	// Patience is how long to wait for the answer beyond the time that the call itself waits for an
+	// end.
 	Patience time.Duration
-	// before is when the lease ended for certain before this call.
+	// before is the local time at which the lease expires for certain if this call isn't carried
+	// out.
 	before time.Duration
 }
 
@@ -41,51 +46,50 @@
 	Checkpoint string
 }
 
-// ListedEnd is an entry of its list of ended runs.
+// ListedEnd is an entry of the backend server's list of ended runs.
 type ListedEnd struct {
 	Seq        int64
 	Run        job.RunID
 	Kind       job.EndKind
 	Checkpoint string
-	// Result is what a run that is done returned, if anything.
+	// Result is the result of a completed run, if it has one.
 	Result string
 }
 
-// lastGrant is how long after its last answer a backend server's lease is still
-// extended. A call without an answer may have extended it all the same, so runs
-// on a server that crashed would be at work for ever as far as anyone knows. It
-// lets three lost answers in a row pass.
+// lastGrant is how long after the last answer of a backend server its lease is still extended. A
+// call without an answer may have extended it, so with endless extensions the runs of a crashed
+// server would count as active forever. The limit tolerates three lost answers in a row.
 const lastGrant = 600 * time.Millisecond
 
-// HoldFailure says what became of a hold without an answer.
+// HoldFailure is why a hold has no result.
 type HoldFailure uint8
 
 const (
-	// NoAnswer leaves open whether the hold was carried out.
+	// NoAnswer means that it is unknown whether the hold was carried out.
 	NoAnswer HoldFailure = iota
-	// NotSent: no connection could be made; nothing was carried out.
+	// NotSent means that no connection could be made, so the hold was not carried out.
 	NotSent
-	// OtherInstance: another life of the backend server has answered.
+	// OtherInstance means that another instance of the backend server answered.
 	OtherInstance
 )
 
-// ErrNotSent says that no connection to the backend server could be made.
-var ErrNotSent = errors.New("the backend server takes no connections")
+// ErrNotSent is returned when no connection to the backend server could be made.
+var ErrNotSent = errors.New("cannot connect to the backend server")
 
-// ErrOtherInstance says that another life of the backend server has answered.
+// ErrOtherInstance is returned when another instance of the backend server answered.
 var ErrOtherInstance = errors.New("another instance of the backend server answered")
 
-// Holding is what a hold has returned.
+// Holding is the result of a hold.
 type Holding struct {
-	// ClockMS is the backend server's clock.
+	// ClockMS is the reading of the backend server's clock in milliseconds.
 	ClockMS int64
 	Active  []Listed
 	Ends    []ListedEnd
-	// Capacity is what the server says that it has; nil: nothing.
+	// Capacity is the capacity that the server reported with the answer; nil if it reported none.
 	Capacity *job.Demand
 }
 
-// Hold returns the next call, or false while no backend server is known.
+// Hold returns the next hold to send. It returns false while no backend server is known.
 func (w *Worker) Hold(now time.Duration) (HoldCall, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -100,9 +104,9 @@
 	return c, true
 }
 
-// holdPatienceLocked is how long to wait for a list. It doubles with each one that has
-// not come: on a host that is busy they take longer than starts, and if none is waited
-// for the lease runs out and everything is cut off.
+// holdPatienceLocked returns the response timeout of a hold. It doubles with each consecutive hold
+// without an answer, up to the maximum. On a busy host lists take longer than starts, and if every
+// hold timed out, the lease would expire and all runs would be cut off.
 func (w *Worker) holdPatienceLocked() time.Duration {
 	return min(w.answers.patience()<<min(w.misses, 3), mostPatience)
 }
@@ -125,11 +129,11 @@
 	return true
 }
 
-// fullList is the number of ends at which the backend server's list may be cut
-// off: what it lacks may have ended all the same.
+// fullList is the number of ends at which the backend server's list may be truncated. A run that
+// such a list lacks may have ended nevertheless.
 const fullList = 500
 
-// Held takes in the lists that a hold returned.
+// Held applies the lists that a hold returned.
 func (w *Worker) Held(now time.Duration, c HoldCall, h Holding) Effects {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -140,7 +144,7 @@
 	w.held = true
 	w.answered = now
 	w.explainLocked(&fx, LossCleared)
-	// After a hold that got no answer nobody knows when the runs have ended.
+	// After a hold without an answer it is unknown when the runs ended.
 	w.gap, w.failing, w.misses = w.misses > 0, false, 0
 	w.clock.read(now, h.ClockMS)
 	if h.Capacity != nil && w.sayLocked(*h.Capacity, h.ClockMS) {
@@ -170,8 +174,8 @@
 func (w *Worker) activeLocked(now time.Duration, fx *Effects, a Listed) {
 	r := w.runs[a.Run]
 	if r == nil {
-		// A run of an earlier life of this agent, or one that was taken as
-		// lapsed and has not ended yet.
+		// The run was started by an earlier incarnation of this agent, or it was reported as lapsed
+		// and hasn't ended yet.
 		shard := a.Run.Task.Job.Shard(w.bounds.Shards)
 		w.runs[a.Run] = &run{order: Order{Shard: shard, Run: a.Run}, phase: running, startedAt: now}
 		return
@@ -186,8 +190,8 @@
 		return
 	}
 	r := w.runs[e.Run]
-	// told: the owner has heard that the run lapsed, and the lease did expire
-	// after this end. A run that was started since is another matter.
+	// The owner was already told that the run lapsed, and the lease did expire after this end. That
+	// doesn't hold for a run that was started since.
 	told := w.clean && (r == nil || r.phase == ended)
 	if r == nil {
 		shard := e.Run.Task.Job.Shard(w.bounds.Shards)
@@ -195,7 +199,7 @@
 		w.runs[e.Run] = r
 	}
 	if len(w.ends) == 0 && w.acked == 0 {
-		// An earlier life of this agent has acknowledged what came before.
+		// An earlier incarnation of this agent has acknowledged all ends before this one.
 		w.acked = e.Seq - 1
 	}
 	if r.phase == running {
@@ -206,16 +210,17 @@
 	w.ends[e.Seq] = r
 	w.noteHealthLocked(now, r)
 	if told && !r.order.Once {
-		// Acknowledging it counts for nothing.
+		// The end was reported as lapsed, so acknowledging it has no effect on the job.
 		r.end.settled = true
 		return
 	}
 	if told {
-		// It stays lost, whatever it has come to, until its owner has settled it.
+		// The run stays lapsed, however it really ended, until its owner has settled it.
 		r.end.kind = job.Lapsed
 	}
 	if s := w.shards[r.order.Shard]; s != nil && !r.known {
-		// The owner that a job's ID leads to settles what nobody else knows.
+		// The owner of the shard that the job ID maps to settles the runs that no other owner
+		// knows.
 		r.order.Epoch = s.epoch
 	}
 	w.emitLocked(fx, r, r.state())
@@ -234,10 +239,10 @@
 	}
 }
 
-// missingLocked finds runs that will not come any more. A run that a hold sent
-// after its confirmation doesn't list is gone. One whose start was never
-// answered is barred by an answered stop, or by its deadline on the backend
-// server's own clock.
+// missingLocked drops runs that the backend server doesn't list and that can't run any more. A run
+// that is missing in the list of a hold sent after its confirmation is gone. A run whose start was
+// never answered can't start once a stop was answered, or once its deadline has passed on the
+// backend server's own clock.
 func (w *Worker) missingLocked(fx *Effects, c HoldCall, clockMS int64, listed map[job.RunID]bool) {
 	for id, r := range w.runs {
 		if listed[id] || r.phase == waiting || r.phase == ended {
@@ -250,7 +255,8 @@
 		case doubtful:
 			barred := r.stopAnswered && c.Seq > r.confirmedBy
 			if !barred && clockMS <= r.deadline {
-				// A stop bars the run for good, also before it has arrived.
+				// A stop bars the run from starting for good, even if the start arrives after the
+				// stop.
 				r.stopWanted = r.stopWanted || c.Seq > r.confirmedBy
 				continue
 			}
@@ -264,9 +270,8 @@
 	}
 }
 
-// lapseLocked ends a wanted expiry of the lease once the backend server's clock
-// is past the last deadline: nothing runs there now, and no end from before
-// counts any more.
+// lapseLocked ends the wait for the expiry of the lease once the backend server's clock is past the
+// last deadline. No run is active then, and ends from before no longer count.
 func (w *Worker) lapseLocked(clockMS int64) {
 	if !w.lapsing || clockMS <= w.granted+lapseMargin.Milliseconds() {
 		return
--- a/coordination/worker/load.go
+++ b/coordination/worker/load.go
@@ -6,40 +6,40 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// Bands are the bounds of slack by which waiting work is summed up for owners.
-// They double from a little above a round trip to about the longest run time.
+// Bands are the upper bounds of slack by which the waiting work is summed up for owners. They
+// double from a little above a round trip to about the longest run time.
 var Bands = [...]time.Duration{
 	25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond,
 	200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond,
 }
 
-// Load is what owners place by.
+// Load is the state of a worker by which owners place tasks.
 type Load struct {
 	Server  Server
 	Free    job.Demand
 	Backlog time.Duration
-	// Ahead is the part of Backlog that has to start within each of Bands.
+	// Ahead is the part of Backlog that has to start within each of the Bands.
 	Ahead [len(Bands)]time.Duration
-	// Slowdown is how much longer runs take here than their owners expected.
+	// Slowdown is the ratio of actual to expected run time here; 1 is normal.
 	Slowdown float64
-	// Turnover is the mean time until running tasks have made room for one more: the next
-	// has ended, and those before it that take more than there is.
+	// Turnover is the mean time until there is room for one more task. If the active runs occupy
+	// more than the capacity, several of them have to end first.
 	Turnover time.Duration
 	Accepts  bool
-	// Drained is set while the failure domain is: nothing is newly started here.
+	// Drained is set while the failure domain is drained and nothing is started here.
 	Drained bool
 	Waiting int
 	Running int
-	// Unsettled is the number of ends that the backend server still lists.
+	// Unsettled is the number of ends in the backend server's last list.
 	Unsettled int
-	// Holds counts the holds that were sent.
+	// Holds is the number of holds sent.
 	Holds int64
-	// Suspects counts the runs and orders that may crash the backend server.
+	// Suspects is the number of runs and orders of tasks that may crash the backend server.
 	Suspects int
 }
 
-// Load returns the present load. Backlog is the waiting work in time of one
-// core.
+// Load returns the present load. Backlog is the waiting work in core time: the time that one core
+// needs for it.
 func (w *Worker) Load(now time.Duration) Load {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -68,8 +68,8 @@
 	return l
 }
 
-// turnover is the mean time until the next of some running tasks ends, by the sum of the
-// run times that are expected of them; zero if none runs.
+// turnover returns the mean time until the next of the running tasks ends, where sum is the sum of
+// their expected run times. It is zero if none runs.
 func turnover(running int, sum time.Duration) time.Duration {
 	if running == 0 {
 		return 0
@@ -90,16 +90,16 @@
 	}
 }
 
-// Ready reports whether this life of the agent knows what runs on the backend
-// server: it has seen its lists once, or what an earlier life started has lost
-// its lease. Before that, a claim's answer would miss runs.
+// Ready reports whether this incarnation of the agent knows what runs on the backend server: it has
+// seen its lists once, or the leases of all runs that an earlier incarnation started have expired.
+// Before that, the answer to a claim would lack runs.
 func (w *Worker) Ready(sinceStart time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.held || sinceStart > time.Duration(float64(w.bounds.Lease)*clockDrift)+lapseMargin
 }
 
-// Stats returns the counters.
+// Stats returns a copy of the counters.
 func (w *Worker) Stats() Stats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/coordination/worker/loss.go
+++ b/coordination/worker/loss.go
@@ -2,22 +2,21 @@
 
 import "time"
 
-// silentHolds is how many holds in a row go without an answer before nothing is
-// sent to a backend server. In some troubles three answers in ten are lost: given
-// up at the second, such a server would be emptied several times a second, at the
-// fifth once in ten. Holds after the first follow quickly, each after some 40 ms, so
-// that a server that is gone is given up after a quarter of a second.
+// silentHolds is the number of consecutive holds without an answer after which the backend server
+// gets no more starts. Some faults lose three answers in ten: with a limit of two, orders would be
+// returned several times a second, with five once in ten seconds. Holds after the first lost one
+// follow quickly, each after some 40 ms, so a dead server is detected after a quarter of a second.
 const silentHolds = 5
 
-// lossMemory is how long after a hold without an answer others are expected: a
-// dozen holds, of which one more is missing if one in ten is.
+// lossMemory is how long after a hold without an answer further losses are expected. It covers a
+// dozen holds, of which one more is lost if one in ten is.
 const lossMemory = time.Second
 
 func (w *Worker) lossyLocked(now time.Duration) bool {
 	return w.misses > 0 || w.missedAt > 0 && now-w.missedAt < lossMemory
 }
 
-// HoldFailed takes in a hold without an answer of this instance.
+// HoldFailed handles a hold that got no answer from the present instance.
 func (w *Worker) HoldFailed(now time.Duration, c HoldCall, why HoldFailure) Effects {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/coordination/worker/orders.go
+++ b/coordination/worker/orders.go
@@ -7,8 +7,8 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// Order takes in an owner's order. An order that the shard's newer owner has
-// overtaken is dropped without a word: the claim's answer has settled it.
+// Order handles an owner's order to start a run. An order of an owner that has been superseded is
+// dropped without an answer: the answer to the newer claim covers it.
 func (w *Worker) Order(now time.Duration, o Order) Effects {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -23,8 +23,8 @@
 		return fx
 	}
 	if o.Repeat {
-		// The run has ended while the order was on its way, and its owner is told.
-		// Taken for a new order it would start the task a second time.
+		// The run ended while the order was in transit, and its owner is told. Treating it as a new
+		// order would start the task a second time.
 		return fx
 	}
 	r := &run{order: o, known: true}
@@ -48,24 +48,25 @@
 	return fx
 }
 
-// reasonTooLarge is why an order is refused that is more than the server has.
+// reasonTooLarge is the reason for refusing or returning an order that demands more than the
+// server's capacity.
 const reasonTooLarge = "too_large"
 
-// ReasonNoRoom is why an order is handed back that would start too late here.
+// ReasonNoRoom is the reason for returning an order that would start too late here.
 const ReasonNoRoom = "no_room"
 
-// returnMargin is the slack below which an order is not handed back any more: the way
-// back and to another worker takes as long.
+// returnMargin is the slack at or below which an order is no longer returned: the way back and to
+// another worker takes as long.
 const returnMargin = 10 * time.Millisecond
 
-// returnShare of an order's slack is the longest expected wait with which it stays: the
-// expectation is rough.
+// returnShare is the share of an order's slack up to which its expected wait may grow before it is
+// returned. It is below 1 because the expected wait is a rough estimate.
 const returnShare = 0.6
 
-// betterElsewhereLocked reports whether a waiting order is to go back to its owner: it
-// would start too late here, and has the time to go elsewhere. Several owners see the same
-// free room and send their orders there at once; all but the first would wait until a task
-// ends, on a worker of six some 60 ms, while others have room.
+// betterElsewhereLocked reports whether a waiting order should be returned to its owner, because it
+// would start too late here and has time to go elsewhere. Several owners see the same free capacity
+// and send their orders there at once. All but the first would wait until a task ends, some 60 ms
+// on a worker with room for six, while other workers have capacity.
 func (w *Worker) betterElsewhereLocked(now time.Duration, r *run) bool {
 	slack := r.order.latestStart() - now
 	ahead, overfull := w.aheadLocked(now, r)
@@ -75,8 +76,8 @@
 	return overfull && ahead > overfullWait
 }
 
-// aheadLocked is how long a waiting run is expected to wait for room here, and whether
-// more runs here than fits.
+// aheadLocked returns how long a waiting run is expected to wait for capacity here, and whether the
+// runs here occupy more than the capacity.
 func (w *Worker) aheadLocked(now time.Duration, r *run) (wait time.Duration, overfull bool) {
 	taken := w.occupancyLocked(now)
 	excess := taken.excess(w.server.Capacity)
@@ -95,19 +96,20 @@
 	return time.Duration(ahead) * turnover(running, sum), excess > 0
 }
 
-// adoptLocked takes over an order for a run that is here already.
+// adoptLocked applies a repeated order to a run of an earlier incarnation of this agent, whose
+// order is not known here.
 func (w *Worker) adoptLocked(fx *Effects, r *run, o Order) {
 	if r.known {
 		return
 	}
 	r.order, r.known = o, true
 	if r.phase == ended {
-		// Its end was told to nobody who knows the job.
+		// The end was reported before, but to no owner that knew the job.
 		w.emitLocked(fx, r, r.state())
 	}
 }
 
-// unfitLocked says why an order can't be taken here, or "".
+// unfitLocked returns the reason for refusing an order, or "" if it can be accepted.
 func (w *Worker) unfitLocked(o Order) string {
 	switch {
 	case !w.seen:
--- a/coordination/worker/patience.go
+++ b/coordination/worker/patience.go
@@ -3,25 +3,28 @@
 import "time"
 
 const (
-	// leastPatience with a start covers the pauses of a small host's processor, most
-	// of them below 10 ms.
+	// leastPatience is the minimum response timeout of a start. It covers the scheduling pauses of
+	// a small host, most of which are below 10 ms.
 	leastPatience = 20 * time.Millisecond
-	// mostPatience with a start is what an idle backend server on a host that is
-	// several times slower needs.
+	// mostPatience is the maximum response timeout of a start. An idle backend server on a host
+	// that is several times slower needs as long.
 	mostPatience = 80 * time.Millisecond
-	// patienceDeviations of the mean are added to it, as for retransmissions in TCP.
+	// patienceDeviations is the number of deviations added to the mean, as for the retransmission
+	// timeout of TCP.
 	patienceDeviations = 4
-	// patienceWeight is the weight of one answer: about the last ten count.
+	// patienceWeight is the weight of one answer in the moving averages. About the last ten answers
+	// count.
 	patienceWeight = 0.1
 )
 
-// answerTimes tells how long to wait for an answer beyond the time that a call is to
-// take, by how long the answers to starts took. A backend server that leaves a start
-// unanswered may still carry it out seconds later, and until it is barred the task
-// waits; a list that is left unanswered hides all ends. With a fixed 80 ms for the one
-// and 50 to 90 ms for the other, jobs that may take 150 ms in all were late for
-// certain. A start that was only slow is shown by the next list, so giving up too
-// early costs one more call and a connection.
+// answerTimes derives the response timeout of calls to the backend server from the time that the
+// answers to starts take. The timeout comes on top of the time that the call itself may wait.
+//
+// A backend server that doesn't answer a start may still carry it out seconds later, and the task
+// waits until the start is barred; a list that is lost hides all ends. With fixed timeouts of 80 ms
+// for starts and 50 to 90 ms for lists, jobs with a deadline of 150 ms were always late. A start
+// that was merely slow shows up in the next list, so a timeout that is too short costs only one
+// more call and a connection.
 type answerTimes struct {
 	mean, deviation time.Duration
 }
@@ -36,13 +39,14 @@
 	a.deviation += time.Duration(patienceWeight * float64(max(off, -off)-a.deviation))
 }
 
-// missed notes that no answer came in time. Without it a server that has turned slow
-// would never be heard in time again: only answers tell that they take longer.
+// missed records that no answer came in time. The timeout has to grow then: the agent learns only
+// from answers, so the answers of a server that has become slow would otherwise always come too
+// late.
 func (a *answerTimes) missed() {
 	a.deviation = max(a.deviation+a.deviation/2, leastPatience/10)
 }
 
-// patience is how long to wait for the next answer.
+// patience returns the response timeout for the next call.
 func (a *answerTimes) patience() time.Duration {
 	if a.mean == 0 {
 		return mostPatience
--- a/coordination/worker/pump.go
+++ b/coordination/worker/pump.go
@@ -7,22 +7,22 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// occupancy is what is taken of the worker.
+// occupancy is what the runs on a backend server occupy.
 type occupancy struct {
 	used job.Demand
-	// known is false while a run of unknown size is there: its owner tells its size with
-	// its claim, or it is stopped when the owner stays silent.
+	// known is false while the demand of a run is unknown. Its owner reports it after its claim; if
+	// the owner stays silent, the run is stopped.
 	known bool
-	// runs counts those that may be on the backend server, and suspects those of tasks
-	// under which servers were lost.
+	// runs counts the runs that may be on the backend server. suspects counts those of tasks under
+	// which servers were lost.
 	runs, suspects int
-	// closed is set while a suspect has the server for itself.
+	// closed is set while an exclusive run has the server to itself.
 	closed bool
 }
 
-// occupancyLocked sums up what is on the backend server. A run keeps its room until its
-// end is listed or its lease has expired for certain: the backend server starts what it
-// is told, whether it fits or not.
+// occupancyLocked sums up what the runs on the backend server occupy. A run counts until its end is
+// listed or its lease has expired for certain: the backend server starts everything it is told to,
+// whether it fits or not.
 func (w *Worker) occupancyLocked(now time.Duration) occupancy {
 	o := occupancy{known: true}
 	for _, r := range w.runs {
@@ -56,12 +56,12 @@
 	for _, r := range w.waitingLocked() {
 		if !taken.admits(&r.order) {
 			if r.order.Caution == Apart {
-				continue // the suspect before it ends soon, and others need not wait
+				continue // the suspect before it ends soon, so the orders behind it need not wait
 			}
 			return
 		}
 		if !r.order.Demand.Fits(w.server.Capacity.Minus(taken.used)) {
-			// Later and smaller orders don't overtake: a wide one would starve.
+			// Later, smaller orders may not overtake: an order with a large demand would starve.
 			return
 		}
 		taken.add(&r.order)
@@ -77,12 +77,11 @@
 	return w.seen && w.clock.known && !w.server.Draining && !w.drained && !w.lapsing && !w.failing && !w.health.suspended
 }
 
-// waitingLocked returns the waiting orders, most urgent first: by when they
-// should have ended, less their run time. Orders that are late keep their place.
-// Behind those that can still be in time they would wait until the worker runs
-// empty, on a full one for seconds, and their jobs, whose other tasks are done
-// already, would be given up. The owners' admission keeps the queues so short that
-// late orders make few others late.
+// waitingLocked returns the waiting orders, most urgent first: by their latest start, which is when
+// they are due less their expected run time. Late orders keep their position. If they were moved
+// behind those that can still be in time, they would wait until the worker is idle, for seconds on
+// a full one, and their jobs, whose other tasks are done already, would be given up. The owners'
+// admission keeps the queues so short that late orders delay only few others beyond their deadline.
 func (w *Worker) waitingLocked() []*run {
 	var out []*run
 	for _, r := range w.runs {
@@ -116,10 +115,10 @@
 	})
 }
 
-// startPatience is how long to wait for the answer to a start. A start that was only slow
-// may begin between the list that lacks it and the stop that is to bar it, and is stopped
-// then. A task that may not be repeated would be lost, and its job with it, so for such
-// ones the longest wait is kept.
+// startPatience returns the response timeout of a start. A start that was merely slow may begin
+// after the list that lacks it and before the stop that bars it; it is then stopped. A task that
+// must not be repeated would be lost that way, and its job with it, so such tasks get the maximum
+// timeout.
 func (w *Worker) startPatience(r *run) time.Duration {
 	if r.order.Once {
 		return mostPatience
@@ -127,30 +126,29 @@
 	return w.answers.patience()
 }
 
-// grantLocked extends the lease from now and returns its end on the backend
-// server's clock.
+// grantLocked extends the lease from now and returns its end on the backend server's clock, in
+// milliseconds.
 func (w *Worker) grantLocked(now time.Duration) int64 {
 	w.granted = max(w.granted, w.clock.at(now+w.bounds.Lease))
 	w.grantedEnd = now + time.Duration(float64(w.bounds.Lease)*clockDrift) + lapseMargin
 	return w.granted
 }
 
-// StartOutcome is what became of a StartCall.
+// StartOutcome is the outcome of a StartCall.
 type StartOutcome uint8
 
 const (
-	// StartOK: the run is there.
+	// StartOK means that the backend server has accepted the run.
 	StartOK StartOutcome = iota
-	// StartRefused: the backend server has done nothing and will not.
+	// StartRefused means that the backend server did nothing and will do nothing.
 	StartRefused
-	// StartUnhealthy is StartRefused by a backend server that is overloaded
-	// or failing.
+	// StartUnhealthy is StartRefused by a backend server that is overloaded or failing.
 	StartUnhealthy
-	// StartUnknown: no answer; the start may be carried out, also later.
+	// StartUnknown means that there was no answer. The start may be carried out, even later.
 	StartUnknown
 )
 
-// StartAnswered takes in the outcome of a StartCall.
+// StartAnswered applies the outcome of a StartCall.
 func (w *Worker) StartAnswered(now time.Duration, instance string, id job.RunID, outcome StartOutcome, reason string) Effects {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -172,9 +170,9 @@
 		w.overLocked(&fx, r, job.NeverRan, reason)
 		delete(w.runs, id)
 	case StartUnknown:
-		// Either the answer was lost and the run is at work, which the next
-		// list shows, or the order may be carried out seconds later. Until
-		// one of both is certain the run keeps its room.
+		// Either the answer was lost and the run is active, which the next list shows, or the start
+		// may still be carried out seconds later. The run occupies its capacity until one of the
+		// two is certain.
 		w.stats.Doubtful++
 		w.answers.missed()
 		r.phase = doubtful
@@ -184,7 +182,7 @@
 	return fx
 }
 
-// confirmLocked notes that a run is at work.
+// confirmLocked notes that a run is active.
 func (w *Worker) confirmLocked(fx *Effects, r *run) {
 	if r.phase == starting {
 		w.emitLocked(fx, r, RunState{Run: r.order.Run, Status: Running})
--- a/coordination/worker/run.go
+++ b/coordination/worker/run.go
@@ -6,35 +6,37 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// phase is how far a run has come on the backend server.
+// phase is the progress of a run.
 type phase uint8
 
 const (
-	// waiting: nothing was sent.
+	// waiting means that the start has not been sent.
 	waiting phase = iota
-	// starting: the start was sent and is not answered.
+	// starting means that the start was sent and has not been answered.
 	starting
-	// doubtful: the start got no answer; it may still be carried out.
+	// doubtful means that the start got no answer and may still be carried out.
 	doubtful
-	// running: the start was confirmed or the run was listed.
+	// running means that the start was confirmed or the run was listed.
 	running
-	// ended: the end is listed and not settled, or settled and not acknowledged.
+	// ended means that the end is listed or kept for its owner, and is not yet both settled and
+	// acknowledged.
 	ended
 )
 
-// run is one order's life here. Guarded by Worker.mu.
+// run is the state of one order here. Guarded by Worker.mu.
 type run struct {
 	order Order
 	phase phase
-	// known is false for a run that an earlier life of this agent started: its
-	// demand is unknown until its owner repeats the order.
+	// known is false for a run that an earlier incarnation of this agent started. Its demand is
+	// unknown until its owner repeats the order.
 	known bool
-	// deadline is the executor-clock time after which a start is refused.
+	// deadline is the time on the backend server's clock, in milliseconds, after which it refuses
+	// the start.
 	deadline int64
-	// confirmedBy is the number of holds sent when the start was confirmed or
-	// the stop answered: only a later hold can show that the run is missing.
+	// confirmedBy is the number of holds sent when the start was confirmed or the stop was
+	// answered. Only a later hold can show that the run is missing.
 	confirmedBy int64
-	// stopWanted runs get a stop until one is answered.
+	// stopWanted is set if the run is to be stopped. The stop is repeated until one is answered.
 	stopWanted   bool
 	stopping     bool
 	stopAnswered bool
@@ -42,14 +44,14 @@
 	startedAt    time.Duration
 	end          endState
 	queue        int64
-	// loss and suspects are what the owner is told of a run that was lost with its server.
+	// loss and suspects are reported to the owner of a run that was lost with its server.
 	loss     Loss
 	suspects int
 }
 
 type endState struct {
-	// seq is the backend server's number of the end; zero for ends that it does
-	// not list, or no more.
+	// seq is the backend server's sequence number of the end. It is zero if the server doesn't list
+	// the end, or no longer does.
 	seq        int64
 	kind       job.EndKind
 	checkpoint string
@@ -65,8 +67,8 @@
 	offset time.Duration
 }
 
-// read takes in a reading that arrived at now. The estimate is never ahead of
-// the true clock: the reading was taken before it arrived.
+// read applies a clock reading, in milliseconds, that arrived at now. The estimate is never ahead
+// of the backend server's clock, because the reading was taken before it arrived.
 func (c *clock) read(now time.Duration, ms int64) {
 	c.known = true
 	c.offset = time.Duration(ms)*time.Millisecond - now
@@ -74,7 +76,7 @@
 
 func (c *clock) at(now time.Duration) int64 { return int64((now + c.offset) / time.Millisecond) }
 
-// replacedServerLocked ends all runs of an instance in whose place another has come up.
+// replacedServerLocked ends all runs of an instance that another one has replaced.
 func (w *Worker) replacedServerLocked(now time.Duration, fx *Effects) {
 	what := LossConfirmed
 	if w.blameless() {
@@ -87,8 +89,7 @@
 	w.resetLocked(now, fx, what)
 }
 
-// resetLocked ends all runs of an instance that is gone, and says whether that was
-// unforeseen.
+// resetLocked ends all runs of an instance that is gone and reports them with the given loss.
 func (w *Worker) resetLocked(now time.Duration, fx *Effects, what Loss) {
 	suspects := w.occupancyLocked(now).runs
 	for id, r := range w.runs {
@@ -97,7 +98,7 @@
 			continue
 		}
 		if r.order.Once && !r.end.settled {
-			// Its owner has not written the end down yet; see dropLocked.
+			// The owner has not recorded the end yet; see dropLocked.
 			r.end.seq = 0
 			continue
 		}
@@ -109,8 +110,8 @@
 	w.lapsing, w.clean = false, false
 }
 
-// overLocked reports the end of a run that the backend server does not list,
-// unless its end is known already.
+// overLocked reports the end of a run that the backend server doesn't list, unless the end is known
+// already.
 func (w *Worker) overLocked(fx *Effects, r *run, kind job.EndKind, reason string) {
 	if r.phase == ended {
 		return
@@ -125,10 +126,9 @@
 	w.emitLocked(fx, r, s)
 }
 
-// dropLocked reports the end of a run that the backend server does not list and
-// forgets it. The loss of a run that may not be repeated is kept until its owner
-// has settled it: an owner that takes over meanwhile would find nothing and
-// start the task again.
+// dropLocked reports the end of a run that the backend server doesn't list, and forgets the run.
+// The loss of a run that must not be repeated is kept until its owner has settled it. Otherwise an
+// owner that takes over before would find nothing and start the task again.
 func (w *Worker) dropLocked(fx *Effects, id job.RunID, r *run, kind job.EndKind, reason string) {
 	w.overLocked(fx, r, kind, reason)
 	delete(w.runs, id)
@@ -142,7 +142,7 @@
 	fx.Events = append(fx.Events, Event{Shard: r.order.Shard, Epoch: r.order.Epoch, State: s})
 }
 
-// returnWaitingLocked hands waiting orders back to their owners.
+// returnWaitingLocked returns the waiting orders to their owners.
 func (w *Worker) returnWaitingLocked(fx *Effects, reason string) {
 	for id, r := range w.runs {
 		if r.phase != waiting {
--- a/coordination/worker/settle.go
+++ b/coordination/worker/settle.go
@@ -2,8 +2,8 @@
 
 import "github.com/shallotstep/shallotstep/state/job"
 
-// Settled takes in what the owner made of an end. An end that the owner could
-// not count, since it had started the task anew, is void.
+// Settled handles an owner's settlement of an end. An end that the owner could not count, because
+// it had started the task again, is void.
 func (w *Worker) Settled(id job.RunID, void bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -22,8 +22,8 @@
 	w.trimLocked()
 }
 
-// settleLocked notes that nobody needs an end any more. One that the backend server
-// never listed, or whose number is acknowledged already, is forgotten at once.
+// settleLocked notes that no owner needs an end any more. An end that the backend server never
+// listed, or whose sequence number is acknowledged already, is forgotten at once.
 func (w *Worker) settleLocked(id job.RunID, r *run) {
 	r.end.settled = true
 	if r.end.seq == 0 {
@@ -31,14 +31,14 @@
 	}
 }
 
-// trimLocked moves the acknowledgement over all ends that are settled. It stops
-// at a void end: acknowledging it would make a second run of its task a double.
-// Once the lease has expired, an end from before counts no more.
+// trimLocked moves the acknowledgement past all settled ends. It stops at a void end: once that end
+// is acknowledged, a second run of its task would be a duplicate execution. After the lease has
+// expired, ends from before no longer count and void ends may be acknowledged.
 //
-// Ends of best-effort jobs need not be settled first: their tasks may run again
-// after a loss, and nothing is recorded of them. They are kept until their owner
-// has settled them, but not on the backend server's list: a hold returns at once
-// while that has an end, and the agent would ask again and again.
+// Ends of best-effort jobs may be acknowledged before they are settled: their tasks may run again
+// after a loss, and nothing of them is recorded. They are kept here until their owner has settled
+// them, but not on the backend server's list. A hold returns at once while the list has an end, so
+// the agent would send one hold after another.
 func (w *Worker) trimLocked() {
 	for {
 		r := w.ends[w.acked+1]
@@ -55,7 +55,7 @@
 	}
 }
 
-// effortLocked reports whether a run is known to be of a best-effort job.
+// effortLocked reports whether a run is known to belong to a best-effort job.
 func (w *Worker) effortLocked(r *run) bool {
 	if !r.known {
 		return w.formerEffort
--- a/coordination/worker/silence.go
+++ b/coordination/worker/silence.go
@@ -6,7 +6,7 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// Tick lets time pass.
+// Tick runs everything that depends only on time.
 func (w *Worker) Tick(now time.Duration) Effects {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -30,8 +30,8 @@
 	w.pumpLocked(now, fx)
 }
 
-// expireLocked frees everything when the lease has run out for certain, since
-// the backend server could not be reached for longer than it lasts.
+// expireLocked drops all runs once the lease has expired for certain, because the backend server
+// could not be reached for longer than the lease.
 func (w *Worker) expireLocked(now time.Duration, fx *Effects) {
 	if w.grantedEnd == 0 || now < w.grantedEnd || w.clean || w.lapsing {
 		return
@@ -56,9 +56,8 @@
 	}
 }
 
-// silenceLocked stops the runs of owners that have been silent for too long. A
-// new owner that can't reach this agent counts on it before it starts the
-// tasks elsewhere.
+// silenceLocked stops the runs of owners that have been silent for longer than their timeout. A new
+// owner that can't reach this agent relies on that before it starts the tasks elsewhere.
 func (w *Worker) silenceLocked(now time.Duration, fx *Effects) {
 	for id, r := range w.runs {
 		if now-w.heardLocked(r) < w.patience(r) || r.stopWanted && r.phase != ended {
@@ -77,16 +76,16 @@
 	}
 }
 
-// settleOrphanLocked settles an end of a best-effort job whose owner is gone for
-// good: nothing of such a job is recorded, so nobody else ever would, and the
-// backend server's list would fill up with what can't be acknowledged behind it.
+// settleOrphanLocked settles an end of a best-effort job whose owner is gone. Such a job is not
+// recorded, so no other owner would settle the end, and the backend server's list would fill up
+// with ends that can't be acknowledged behind it.
 func (w *Worker) settleOrphanLocked(id job.RunID, r *run) {
 	if w.effortLocked(r) {
 		w.settleLocked(id, r)
 	}
 }
 
-// patience is how long the owner of a run may be silent.
+// patience returns how long the owner of a run may be silent.
 func (w *Worker) patience(r *run) time.Duration {
 	if !r.known {
 		return w.bounds.Adoption
@@ -94,8 +93,8 @@
 	return w.bounds.OwnerSilence
 }
 
-// heardLocked is the last sign of life of a run's owner. A run of an earlier
-// life of this agent has none until an owner repeats its order.
+// heardLocked returns when the owner of a run was last heard. A run of an earlier incarnation of
+// this agent counts from when it was found until an owner repeats its order.
 func (w *Worker) heardLocked(r *run) time.Duration {
 	s := w.shards[r.order.Shard]
 	if !r.known || s == nil {
@@ -104,8 +103,8 @@
 	return s.heard
 }
 
-// Drain hands back what has not started, for a planned stop of the agent. It
-// reports whether nothing runs here and no end waits for its owner.
+// Drain returns the waiting orders for a planned stop of the agent, which accepts no new ones from
+// then on. It reports whether no run is active and no end waits for its owner.
 func (w *Worker) Drain() (Effects, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/coordination/worker/stops.go
+++ b/coordination/worker/stops.go
@@ -6,7 +6,7 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// Stop ends a run on its owner's word.
+// Stop ends a run on request of the shard's owner.
 func (w *Worker) Stop(now time.Duration, shard int, epoch int64, id job.RunID) Effects {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -22,7 +22,7 @@
 	return fx
 }
 
-// stopLocked drops a waiting run, and has a started one stopped.
+// stopLocked drops a waiting run and stops an active one.
 func (w *Worker) stopLocked(now time.Duration, fx *Effects, r *run, reason string) {
 	switch r.phase {
 	case waiting:
@@ -34,8 +34,8 @@
 	}
 }
 
-// stopRetry is the pause before a stop without an answer is sent again: a few
-// round trips on the same host, short against the cancellation bound of 3 s.
+// stopRetry is the pause before a stop without an answer is repeated. It is a few round trips on
+// the same host, and short compared with the 3 s within which a cancellation has to take effect.
 const stopRetry = 100 * time.Millisecond
 
 func (w *Worker) callStopLocked(now time.Duration, fx *Effects, r *run) {
@@ -47,7 +47,7 @@
 	fx.Stops = append(fx.Stops, StopCall{Instance: w.server.Instance, Run: r.order.Run})
 }
 
-// StopAnswered takes in the outcome of a StopCall.
+// StopAnswered applies the outcome of a StopCall. answered is false if no answer came.
 func (w *Worker) StopAnswered(now time.Duration, instance string, id job.RunID, answered bool) Effects {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/coordination/worker/worker.go
+++ b/coordination/worker/worker.go
@@ -1,10 +1,10 @@
-// Package worker keeps the books of one backend server at the agent beside it:
-// which runs occupy it, which orders wait, which ends nobody has settled, and
-// how long its lease lasts. It is the only authority on what fits there.
+// Package worker keeps the state of one backend server at the agent beside it: the runs that occupy
+// it, the waiting orders, the ends that are not settled, and the lease. It alone decides what fits
+// on the backend server.
 //
-// The machine is pure: time comes in as now, a reading of the boot clock, which
-// goes on while a host is suspended. Calls to the backend server and news for
-// the owners of shards come out as Effects. It is safe for concurrent use.
+// Worker is a pure state machine. Time comes in as now, a reading of the boot clock, which
+// continues while a host is suspended. Calls to the backend server and events for the owners of
+// shards are returned as Effects, which the driver carries out. Worker is safe for concurrent use.
 package worker
 
 import (
@@ -14,47 +14,47 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// Bounds are the figures that the platform and the settings give.
+// Bounds are the timeouts and sizes that the platform and the settings give.
 type Bounds struct {
-	// Lease is the longest lease the backend server grants.
+	// Lease is the longest lease that the backend server grants.
 	Lease time.Duration
-	// OwnerSilence is how long an owner may be silent before its runs are
-	// stopped here.
+	// OwnerSilence is how long an owner may be silent before its runs here are stopped.
 	OwnerSilence time.Duration
-	// Relink is how long an owner whose link has ended may take to make it
-	// anew.
+	// Relink is how long an owner whose link has ended may take to connect again before its runs
+	// are stopped.
 	Relink time.Duration
-	// Adoption is how long a run of an earlier life of the agent may wait for
-	// its owner to repeat the order. The owner may be that earlier life: its
-	// best-effort jobs are sent again, and their first runs must be over then.
+	// Adoption is how long a run of an earlier incarnation of the agent may wait for its owner to
+	// repeat the order. The owner may be that incarnation itself: clients resubmit its best-effort
+	// jobs, and the first runs of these must have ended by then.
 	Adoption time.Duration
-	// Shards is the number of shards that job IDs are spread over.
+	// Shards is the number of shards that job IDs are mapped to. Higher shard numbers are private
+	// shards of best-effort jobs.
 	Shards int
 }
 
 const (
-	// clockDrift covers a backend server's clock that runs 2 % slow, the
-	// platform's bound, and a little for rounding.
+	// clockDrift scales the lease to cover a backend server's clock that runs 2 % slow, the
+	// platform's bound, and rounding.
 	clockDrift = 1.03
-	// lapseMargin is added before a lease counts as expired for certain: the
-	// executor's timers fire a few ms late, its clock is read in whole ms.
+	// lapseMargin is added before a lease counts as expired for certain: the backend server's
+	// timers fire a few milliseconds late, and its clock is read in whole milliseconds.
 	lapseMargin = 60 * time.Millisecond
 )
 
-// Server is what a backend server last said of itself.
+// Server is the last report of a backend server.
 type Server struct {
 	Instance string
 	Service  string
 	Labels   []string
 	Capacity job.Demand
 	Draining bool
-	// Cold is how much longer runs take longer than usual there, from the report on.
+	// Cold is how much longer, from the report on, runs take longer than usual there.
 	Cold time.Duration
-	// Seq rises with each report of one instance.
+	// Seq increases with each report of one instance.
 	Seq int64
 }
 
-// Order is an owner's instruction to start a run.
+// Order is an owner's request to start a run.
 type Order struct {
 	Shard   int
 	Epoch   int64
@@ -66,33 +66,33 @@
 	Demand  job.Demand
 	// Estimate is the run time that the owner expects.
 	Estimate time.Duration
-	// Due is when the run should have ended, on the clock of now.
+	// Due is when the run should have ended, on the clock that now is read from.
 	Due          time.Duration
 	Checkpoint   string
 	MaxPerWorker int
-	// Repeat is set when the owner was told that the run is here already. The
-	// order tells the agent what it takes, and starts nothing.
+	// Repeat is set when the owner was told that the run is here already. The order then only tells
+	// the agent the demand and the job of the run, and starts nothing.
 	Repeat bool
-	// Once is the policy of the run's job: its loss must not be forgotten
-	// before the owner has heard of it.
+	// Once is set if the run's job forbids to repeat a task. The loss of such a run is kept until
+	// the owner has settled it.
 	Once bool
-	// Caution is set where backend servers were lost under earlier runs of the task.
+	// Caution is set if backend servers were lost under earlier runs of the task.
 	Caution Caution
 }
 
-// RunState is what an owner is told of a run.
+// RunState is the state of a run as reported to its owner.
 type RunState struct {
 	Run        job.RunID
 	Status     Status
 	End        job.EndKind
 	Checkpoint string
-	// Work is how long the run was at work, from its confirmed start.
+	// Work is how long the run was active, from its confirmed start.
 	Work   time.Duration
 	Reason string
-	// Result is what a run that is done returned.
+	// Result is the result of a completed run.
 	Result string
-	// Loss says whether the run was lost with its backend server, of that Instance, with
-	// so many Suspects on it, this one among them.
+	// Loss is set if the run was lost with its backend server. Instance is then that instance, and
+	// Suspects the number of runs on it, including this one.
 	Loss     Loss
 	Instance string
 	Suspects int
@@ -102,50 +102,50 @@
 type Status uint8
 
 const (
-	// Waiting orders have not been sent to the backend server.
+	// Waiting means that the order has not been sent to the backend server.
 	Waiting Status = iota
-	// Running runs are at work, or may be.
+	// Running means that the run is active, or may be.
 	Running
-	// Ended runs are over.
+	// Ended means that the run has ended.
 	Ended
-	// LossNews says what became of the backend server with which a run was lost. The end
-	// of the run was told before.
+	// LossNews reports whether the loss of the backend server with which a run was lost is
+	// confirmed or cleared. The end of the run was reported before.
 	LossNews
 )
 
-// Event is news of a run for the owner of its shard.
+// Event reports the state of a run to the owner of its shard.
 type Event struct {
 	Shard int
 	Epoch int64
 	State RunState
 }
 
-// StartCall asks the driver to start a run. The answer goes to StartAnswered.
+// StartCall asks the driver to start a run. The driver passes the outcome to StartAnswered.
 type StartCall struct {
 	Instance   string
 	Run        job.RunID
 	Payload    string
 	Checkpoint string
-	// Deadline is on the backend server's clock.
+	// Deadline is the end of the lease on the backend server's clock, in milliseconds.
 	Deadline int64
 	// Patience is how long to wait for the answer.
 	Patience time.Duration
 }
 
-// StopCall asks the driver to stop a run. The answer goes to StopAnswered.
+// StopCall asks the driver to stop a run. The driver passes the outcome to StopAnswered.
 type StopCall struct {
 	Instance string
 	Run      job.RunID
 }
 
-// Effects is what a step asks of the driver.
+// Effects lists what the driver has to do after a step.
 type Effects struct {
 	Starts []StartCall
 	Stops  []StopCall
 	Events []Event
 }
 
-// Worker is the machine. Its zero value is not usable; see New.
+// Worker is the state machine of one backend server. Its zero value is not usable; see New.
 type Worker struct {
 	bounds Bounds
 
@@ -153,67 +153,67 @@
 	// All fields below are guarded by mu.
 
 	server Server
-	// seen is false until the first report.
+	// seen is set once the backend server has reported.
 	seen bool
 	// held is set once the backend server's lists were seen.
 	held   bool
 	runs   map[job.RunID]*run
 	shards map[int]*shardState
-	// former has, by node, the owners that runs of an earlier life of this agent can
-	// be of; an owner leaves it when a later life of its node has claimed.
+	// former holds, by node, the owners that the runs of an earlier incarnation of this agent may
+	// belong to. An owner is removed when a later incarnation of its node has claimed.
 	former map[string]string
-	// formerEffort is set where all runs of the earlier life are of best-effort jobs.
+	// formerEffort is set if all runs of the earlier incarnation are of best-effort jobs.
 	formerEffort bool
 	queued       int64
 
 	clock clock
-	// granted is the latest executor-clock deadline given out, and grantedEnd
-	// the local time by which it has expired for certain.
+	// granted is the latest lease deadline given out, in milliseconds on the backend server's
+	// clock. grantedEnd is the local time by which that lease has expired for certain.
 	granted    int64
 	grantedEnd time.Duration
 	holds      int64
 	acked      int64
-	// ends has the listed ends that are not acknowledged, by their number.
+	// ends holds the listed ends that are not acknowledged, by their sequence number.
 	ends map[int64]*run
-	// lapsing is set while the lease must run out before any end can be
-	// acknowledged, because an end that was voided must never count.
+	// lapsing is set while the lease must expire before any end can be acknowledged, because an end
+	// that was voided must never count.
 	lapsing bool
-	// clean is set when the lease has expired while the backend server could
-	// not be reached: ends listed next were reported as lapsed already.
+	// clean is set when the lease has expired while the backend server could not be reached. The
+	// runs whose ends are listed next were reported as lapsed already.
 	clean bool
 
-	// answered is when the backend server answered a hold last.
+	// answered is when the backend server last answered a hold.
 	answered time.Duration
-	// drained is set while nothing is to be newly started in this failure domain.
+	// drained is set while the failure domain is drained, so nothing is started.
 	drained bool
-	// closing is set while the agent itself stops as planned.
+	// closing is set once a planned stop of the agent has begun.
 	closing bool
-	// misses counts the holds without an answer since the last one with.
+	// misses counts the consecutive holds without an answer.
 	misses int
-	// missedAt is when the last hold went without an answer; zero: none did.
+	// missedAt is when a hold last went without an answer; zero if none did.
 	missedAt time.Duration
-	// failing is set while holds are not answered: nothing is started.
+	// failing is set while the backend server doesn't answer holds. Nothing is started then.
 	failing bool
-	// gap is set while the lists after a hold without an answer are taken in.
+	// gap is set while the lists that follow a hold without an answer are applied.
 	gap bool
-	// unsettled is the number of ends in the newest list.
+	// unsettled is the number of ends in the last list.
 	unsettled int
 
-	// saidAt is when the server spoke of its capacity last, on its clock, and varies is set
-	// once that has changed.
+	// saidAt is when the server last reported its capacity, in milliseconds on its clock. varies is
+	// set once the present instance has changed its capacity.
 	saidAt int64
 	varies bool
-	// lost are the instances that were lost lately, oldest first.
+	// lost holds the instances that were recently lost, oldest first.
 	lost []*lostServer
 
 	health  health
 	answers answerTimes
-	// lastDone is when a run ended as done last.
+	// lastDone is when a run last completed successfully.
 	lastDone time.Duration
 	stats    Stats
 }
 
-// shardState is what is known of one shard's owner. Guarded by Worker.mu.
+// shardState is what is known about the owner of one shard. Guarded by Worker.mu.
 type shardState struct {
 	owner   string
 	epoch   int64
@@ -221,19 +221,19 @@
 	heard   time.Duration
 }
 
-// Stats are counters of the machine.
+// Stats are counters of a Worker.
 type Stats struct {
 	Started, Refused, Lapsed, Doubtful, Voided, Silenced, Stalled int64
-	// Returned counts the orders handed back because they would have started too late.
+	// Returned counts the orders that were returned because they would have started too late.
 	Returned int64
 	// Resized counts the changes of the backend server's capacity.
 	Resized int64
-	// Drained counts the orders that were refused or handed back because the failure domain
-	// is drained.
+	// Drained counts the orders that were refused or returned because the failure domain is
+	// drained.
 	Drained int64
 }
 
-// New returns a machine that knows nothing of its backend server yet.
+// New returns a Worker that has no report of its backend server yet.
 func New(b Bounds) *Worker {
 	return &Worker{
 		bounds: b,
@@ -243,15 +243,15 @@
 	}
 }
 
-// Report takes in what the backend server says of itself. A new instance means
-// that everything of the old one is gone.
+// Report applies a report of the backend server. A new instance means that all runs of the previous
+// one are gone.
 func (w *Worker) Report(now time.Duration, s Server, clockMS int64) Effects {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var fx Effects
 	if w.seen && s.Instance == w.server.Instance && s.Seq <= w.server.Seq {
-		// A report that was held up on its way would take back a drain, and one that
-		// repeats a number says nothing new.
+		// A report that arrives late would revert a drain, and one that repeats a sequence number
+		// is a duplicate.
 		return fx
 	}
 	if w.seen && s.Instance != w.server.Instance {
@@ -281,8 +281,8 @@
 	return fx
 }
 
-// Resume is Report with what an earlier life of the agent has written down. Any
-// report of the server is newer.
+// Resume applies what an earlier incarnation of the agent has stored about the backend server. It
+// does nothing once the server has reported, and any later report takes precedence.
 func (w *Worker) Resume(now time.Duration, s Server, clockMS int64) Effects {
 	if w.known() {
 		return Effects{}
@@ -291,7 +291,7 @@
 	return w.Report(now, s, clockMS)
 }
 
-// beforeAnyReport is below the numbers of all reports.
+// beforeAnyReport is a sequence number below those of all reports.
 const beforeAnyReport = -1
 
 func (w *Worker) known() bool {
@@ -300,22 +300,21 @@
 	return w.seen
 }
 
-// Changes reports whether a report is of another instance, state or capacity than the
-// last one.
+// Changes reports whether s differs from the last report in instance, draining state or capacity.
 func (w *Worker) Changes(s Server) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.seen || w.server.Instance != s.Instance || w.server.Draining != s.Draining || w.server.Capacity != s.Capacity
 }
 
-// Server returns the last report, or false before the first.
+// Server returns the last report, or false if there is none.
 func (w *Worker) Server() (Server, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.server, w.seen
 }
 
-// Left tells that the backend server has deregistered.
+// Left notes that an instance of the backend server has deregistered.
 func (w *Worker) Left(instance string) Effects {
 	w.mu.Lock()
 	defer w.mu.Unlock()
