--- a/coordination/owner/crash.go
+++ b/coordination/owner/crash.go
@@ -158,16 +158,16 @@
 }
 
 // caution is how a task is kept apart from others.
-func (s *Shard) caution(rec *job.TaskRecord) worker.Caution {
+func (s *Shard) caution(rec *job.TaskRecord) worker.Isolation {
 	switch n := len(rec.Crashes); {
 	case n == 0:
-		return worker.NoCaution
+		return worker.NoIsolation
 	case n >= s.fleet.params.CrashesAlone:
-		return worker.Alone
+		return worker.Exclusive
 	case n >= s.fleet.params.CrashesApart:
-		return worker.Apart
+		return worker.ApartFromSuspects
 	}
-	return worker.NoCaution
+	return worker.NoIsolation
 }
 
 // avoided names the agents that a task goes to only when no other is there: where it has
--- a/coordination/owner/crash_test.go
+++ b/coordination/owner/crash_test.go
@@ -42,7 +42,7 @@
 
 // explain tells what became of that server.
 func (f *fixture) explain(o Placed[worker.Order], what worker.Loss) {
-	f.tell(o, worker.RunState{Run: o.What.Run, Status: worker.LossNews, Loss: what, Instance: "i-" + o.Node})
+	f.tell(o, worker.RunState{Run: o.What.Run, Status: worker.LossUpdate, Loss: what, Instance: "i-" + o.Node})
 }
 
 // pass lets time pass and what is due be written.
@@ -65,12 +65,12 @@
 // server down; the task is not started again, and its job is shown as failed.
 func TestTaskUnderThreeCrashesIsGivenUp(t *testing.T) {
 	f := newCrashFixture(t)
-	cautions := []worker.Caution{worker.NoCaution, worker.Apart, worker.Alone}
+	cautions := []worker.Isolation{worker.NoIsolation, worker.ApartFromSuspects, worker.Exclusive}
 	been := make(map[string]bool)
 	o := f.begin()
 	for i, want := range cautions {
 		f.is.Equal(len(f.orders), i+1)
-		f.is.Equal(o.What.Caution, want)
+		f.is.Equal(o.What.Isolation, want)
 		f.is.True(!been[o.Node])
 		been[o.Node] = true
 		f.lose(o, 4-i, worker.LossConfirmed)
@@ -101,7 +101,7 @@
 		f.explain(o, worker.LossCleared)
 		f.write()
 		o = f.last()
-		f.is.Equal(o.What.Caution, worker.Apart) // it was not known yet
+		f.is.Equal(o.What.Isolation, worker.ApartFromSuspects) // it was not known yet
 		f.is.Equal(len(f.jobs[testID].rec.Tasks[0].Crashes), 0)
 	}
 	f.event(o, worker.Ended, job.Done)
@@ -117,7 +117,7 @@
 	f.lose(f.last(), 2, worker.LossConfirmed)
 	f.event(f.last(), worker.Ended, job.FailedRun)
 	f.write()
-	f.is.Equal(f.last().What.Caution, worker.NoCaution)
+	f.is.Equal(f.last().What.Isolation, worker.NoIsolation)
 	f.lose(f.last(), 1, worker.LossConfirmed)
 	f.is.Equal(f.Lookup(testID).State, job.Queued+1) // it goes on
 	f.event(f.last(), worker.Ended, job.Done)
@@ -139,7 +139,7 @@
 	second := f.last()
 	f.lose(neighbour, 2, worker.LossConfirmed)
 	rerun := f.last()
-	f.is.Equal(rerun.What.Caution, worker.Apart)
+	f.is.Equal(rerun.What.Isolation, worker.ApartFromSuspects)
 	f.lose(second, 1, worker.LossConfirmed)
 	f.is.Equal(f.Lookup(testID).State, job.Failed)
 	f.is.Equal(len(f.jobs["00000000000000bb"].rec.Tasks[0].Crashes), 0)
@@ -155,7 +155,7 @@
 	}
 	f.lose(f.last(), 1, worker.LossConfirmed)
 	f.is.True(!f.Lookup(testID).State.Final())
-	f.is.Equal(f.last().What.Caution, worker.Alone)
+	f.is.Equal(f.last().What.Isolation, worker.Exclusive)
 }
 
 // An owner dies after two servers were lost under a task. The next one finds that in the
@@ -171,7 +171,7 @@
 	next := newCrashFixture(t, &rec)
 	next.pass(100 * time.Millisecond)
 	next.is.Equal(len(next.orders), 1)
-	next.is.Equal(next.last().What.Caution, worker.Alone)
+	next.is.Equal(next.last().What.Isolation, worker.Exclusive)
 	next.lose(next.last(), 1, worker.LossConfirmed)
 	next.is.Equal(next.Lookup(testID).State, job.Failed)
 	next.is.Equal(len(next.orders), 1)
@@ -206,7 +206,7 @@
 	f.is.Equal(len(f.orders), 4)
 	f.pass(6 * time.Second)
 	f.is.Equal(len(f.orders), 5) // it is as if nothing had been
-	f.is.Equal(f.last().What.Caution, worker.NoCaution)
+	f.is.Equal(f.last().What.Isolation, worker.NoIsolation)
 }
 
 // A job of many tasks has one that crashes its servers. As long as it may be
@@ -249,7 +249,7 @@
 	f.take(f.Claimed(f.now, o.Node, worker.Claimed{Claim: claim, Lost: []worker.RunState{lost(o, 3, worker.LossConfirmed)}}))
 	f.write()
 	f.is.Equal(len(f.orders), 3)
-	f.is.Equal(f.last().What.Caution, worker.Alone)
+	f.is.Equal(f.last().What.Isolation, worker.Exclusive)
 }
 
 // A task is acquitted of one server while another run of it is at work, and that run is lost
--- a/coordination/owner/dispatch.go
+++ b/coordination/owner/dispatch.go
@@ -55,7 +55,7 @@
 		Checkpoint:   j.rec.Task(id).Checkpoint,
 		MaxPerWorker: st.MaxPerWorker,
 		Once:         j.rec.Policy.Once,
-		Caution:      s.caution(j.rec.Task(id)),
+		Isolation:    s.caution(j.rec.Task(id)),
 	}
 }
 
--- a/coordination/owner/fleet.go
+++ b/coordination/owner/fleet.go
@@ -21,9 +21,9 @@
 	Capacity job.Demand
 	Free     job.Demand
 	// Backlog is the waiting work in time of one core, and Ahead the part of
-	// it that has to start within each of worker.Bands.
+	// it that has to start within each of worker.SlackBuckets.
 	Backlog time.Duration
-	Ahead   [len(worker.Bands)]time.Duration
+	Ahead   [len(worker.SlackBuckets)]time.Duration
 	// Slowdown is how much longer runs take there than expected.
 	Slowdown float64
 	// Turnover is the mean time until the next running task ends.
@@ -46,7 +46,7 @@
 	if slack <= 0 {
 		return l.Backlog
 	}
-	for i, edge := range worker.Bands {
+	for i, edge := range worker.SlackBuckets {
 		if slack <= edge {
 			return l.Ahead[i]
 		}
@@ -75,7 +75,7 @@
 	Avoid []string
 	// Caution is set for a task that may crash its backend server: it goes where few
 	// others run, and no other suspect.
-	Caution worker.Caution
+	Caution worker.Isolation
 }
 
 // Fleet is an owner's view of the agents it has a link to. It is shared by the
@@ -115,7 +115,7 @@
 
 func (v *agentView) book(n Need) {
 	v.sent++
-	v.pending = append(v.pending, pendingOrder{number: v.sent, at: n.Now, demand: n.Demand, work: coreTime(n), suspect: n.Caution != worker.NoCaution})
+	v.pending = append(v.pending, pendingOrder{number: v.sent, at: n.Now, demand: n.Demand, work: coreTime(n), suspect: n.Caution != worker.NoIsolation})
 }
 
 // unbook takes the last booking back.
--- a/coordination/owner/placement.go
+++ b/coordination/owner/placement.go
@@ -153,7 +153,7 @@
 		if slices.Contains(n.Avoid, node) || n.Now-v.heard > f.params.StaleLoad {
 			p.rank += lastResort
 		}
-		if n.Caution != worker.NoCaution {
+		if n.Caution != worker.NoIsolation {
 			p.rank += v.company(p)
 		}
 		if !found || p.rank < best.rank {
--- a/coordination/owner/waiting.go
+++ b/coordination/owner/waiting.go
@@ -26,7 +26,7 @@
 	st := &j.rec.Spec.Steps[id.Step]
 	n := s.need(&j.rec.Policy, st)
 	where := placeKeyOf(&j.rec.Policy, st)
-	where.suspect = s.caution(j.rec.Task(id)) != worker.NoCaution
+	where.suspect = s.caution(j.rec.Task(id)) != worker.NoIsolation
 	return waitingTask{id: id, where: where, yields: j.yields, latest: j.due - n.Estimate, work: coreTime(n)}
 }
 
--- a/coordination/worker/capacity_test.go
+++ b/coordination/worker/capacity_test.go
@@ -102,7 +102,7 @@
 	// An answer to a call counts alike, by the server's clock.
 	c, _ := f.Hold(f.now)
 	f.pass(10 * time.Millisecond)
-	f.take(f.Held(f.now, c, Holding{ClockMS: f.clock, Capacity: &job.Demand{CPUMillis: 800, MemoryMB: 1000}}))
+	f.take(f.HoldAnswered(f.now, c, HoldResult{ClockMS: f.clock, Capacity: &job.Demand{CPUMillis: 800, MemoryMB: 1000}}))
 	f.is.Equal(f.free(), int64(800))
 	f.sayAt(8, 3200, f.clock-5) // said before that answer
 	f.is.Equal(f.free(), int64(800))
@@ -129,11 +129,11 @@
 	is := is.New(t)
 	f := newFixture(t)
 	f.say(2, 0)
-	is.True(f.Varies())
+	is.True(f.CapacityChanged())
 	f.clock = 3
 	f.report("i-2", 0, false)
 	is.Equal(f.free(), int64(3200))
-	is.True(!f.Varies())
+	is.True(!f.CapacityChanged())
 }
 
 // The sizes differ, and memory may be what lacks: so many runs have to end first.
--- a/coordination/worker/crash_test.go
+++ b/coordination/worker/crash_test.go
@@ -49,7 +49,7 @@
 	}
 	f.pass(2 * time.Second)
 	f.report("i-2", 1, false)
-	news := f.losses(LossNews)
+	news := f.losses(LossUpdate)
 	f.is.Equal(len(news), 2)
 	f.is.Equal(news[0].Loss, LossConfirmed)
 }
@@ -60,7 +60,7 @@
 	f.send(f.order(0))
 	f.report("i-2", 1, false)
 	f.is.Equal(f.losses(Ended)[0].Loss, LossConfirmed)
-	f.is.Equal(len(f.losses(LossNews)), 0)
+	f.is.Equal(len(f.losses(LossUpdate)), 0)
 }
 
 // A backend server is cut off for longer than its lease, or its host was suspended, and
@@ -71,7 +71,7 @@
 	f.crash()
 	f.is.Equal(f.losses(Ended)[0].Loss, LossSuspected)
 	f.hold()
-	news := f.losses(LossNews)
+	news := f.losses(LossUpdate)
 	f.is.Equal(len(news), 1)
 	f.is.Equal(news[0].Loss, LossCleared)
 }
@@ -82,7 +82,7 @@
 	for name, end := range map[string]func(*fixture){
 		"draining": func(f *fixture) { f.report("i-1", 2, true); f.crash(); f.report("i-2", 1, false) },
 		"replaced": func(f *fixture) { f.report("i-1", 2, true); f.report("i-2", 1, false) },
-		"left":     func(f *fixture) { f.take(f.Left("i-1")); f.report("i-2", 1, false) },
+		"left":     func(f *fixture) { f.take(f.Deregistered("i-1")); f.report("i-2", 1, false) },
 		"stopping": func(f *fixture) { f.Drain(); f.crash(); f.report("i-2", 1, false) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -90,7 +90,7 @@
 			f.send(f.order(0))
 			end(f)
 			f.is.Equal(len(f.losses(Ended)), 0)
-			f.is.Equal(len(f.losses(LossNews)), 0)
+			f.is.Equal(len(f.losses(LossUpdate)), 0)
 		})
 	}
 }
@@ -113,7 +113,7 @@
 	f.is.Equal(f.got[len(f.got)-1].Epoch, int64(6))
 	// The link with that news was lost, and another is made.
 	f.is.Equal(f.claim(recorded, 6, 3).Lost[0].Loss, LossConfirmed)
-	f.pass(lostMemory + time.Second)
+	f.pass(lostRetention + time.Second)
 	f.take(f.Tick(f.now))
 	f.is.Equal(len(f.claim(recorded, 6, 4).Lost), 0)
 }
@@ -123,7 +123,7 @@
 func TestSuspectsAreKeptApart(t *testing.T) {
 	f := newFixture(t)
 	first, second := f.order(0), f.order(1)
-	first.Caution, second.Caution = Apart, Apart
+	first.Isolation, second.Isolation = ApartFromSuspects, ApartFromSuspects
 	f.send(first)
 	f.is.Equal(len(f.send(second).Starts), 0)
 	f.is.Equal(len(f.send(f.order(2)).Starts), 1) // others go on
@@ -140,7 +140,7 @@
 	f := newFixture(t)
 	f.send(f.order(0))
 	suspect := f.order(1)
-	suspect.Caution = Alone
+	suspect.Isolation = Exclusive
 	f.is.Equal(len(f.send(suspect).Starts), 0)
 	f.is.Equal(f.Load(f.now).Free, job.Demand{})
 	other := f.order(2)
@@ -162,10 +162,10 @@
 	f := newFixture(t)
 	f.send(f.order(0))
 	f.crash()
-	f.pass(lostMemory + time.Second)
+	f.pass(lostRetention + time.Second)
 	f.take(f.Tick(f.now))
 	f.report("i-2", 1, false)
-	is.Equal(len(f.losses(LossNews)), 0)
+	is.Equal(len(f.losses(LossUpdate)), 0)
 }
 
 // A backend server is cut off until its lease is over, is there again, and crashes later
--- a/coordination/worker/former_test.go
+++ b/coordination/worker/former_test.go
@@ -13,7 +13,7 @@
 // its earlier life has taken orders of.
 func newFixtureWithFormerRun(t *testing.T) (*fixture, job.RunID) {
 	f := newFixture(t)
-	f.Former([]string{"entry-1/old", "entry-2/old"})
+	f.SetFormerOwners([]string{"entry-1/old", "entry-2/old"})
 	run := job.RunID{Task: job.TaskID{Job: "00000000000000ee"}, Number: 1}
 	f.alive[run] = true
 	f.hold()
@@ -42,7 +42,7 @@
 	f.claimAs("entry-1/new", private+1)
 	f.claimAs("entry-2/old", private+2)
 	f.is.Equal(len(f.stops), 0)
-	f.pass(testBounds.Adoption + time.Millisecond)
+	f.pass(testBounds.AdoptionTimeout + time.Millisecond)
 	f.take(f.Tick(f.now))
 	f.is.Equal(len(f.stops), 1)
 }
@@ -73,19 +73,19 @@
 // much longer than answers take.
 func TestPatienceFollowsTheAnswers(t *testing.T) {
 	is := is.New(t)
-	var a answerTimes
-	is.Equal(a.patience(), mostPatience)
+	var a responseTimes
+	is.Equal(a.timeout(), maxResponseTimeout)
 	for i := range 60 {
-		a.learn(time.Duration(2+i%3) * time.Millisecond)
+		a.observe(time.Duration(2+i%3) * time.Millisecond)
 	}
-	is.Equal(a.patience(), leastPatience)
-	a.missed()
-	is.True(a.patience() < 2*leastPatience)
+	is.Equal(a.timeout(), minResponseTimeout)
+	a.timedOut()
+	is.True(a.timeout() < 2*minResponseTimeout)
 	// The host turns slow: no answer comes in time any more, until it is waited longer.
 	for range 12 {
-		a.missed()
+		a.timedOut()
 	}
-	is.Equal(a.patience(), mostPatience)
+	is.Equal(a.timeout(), maxResponseTimeout)
 }
 
 // All processes were killed where no job is recorded, so no owner ever claims. The ends
@@ -93,7 +93,7 @@
 // server listed behind: eight seconds later its list was full, and nobody was served.
 func TestEndsOfAnEarlierLifeHoldUpNothing(t *testing.T) {
 	f := newFixture(t)
-	f.Former([]string{"entry-1/old"})
+	f.SetFormerOwners([]string{"entry-1/old"})
 	old := job.RunID{Task: job.TaskID{Job: "00000000000000ee"}, Number: 1}
 	f.alive[old] = true
 	f.hold()
@@ -102,7 +102,7 @@
 	f.is.Equal(f.hold().Acked, int64(1))
 	found := f.Claim(f.now, Claim{Shard: private + 1, Epoch: 1, Session: 1, Owner: "entry-1/old"})
 	f.is.Equal(len(found.Runs), 1) // its entry may live and ask for it
-	f.is.True(!f.Orphaned(f.now + 2*orphanAfter))
+	f.is.True(!f.HasOrphanedEnds(f.now + 2*orphanAfter))
 }
 
 // An earlier life may have had runs of recorded jobs. An end of one is not acknowledged
@@ -115,8 +115,8 @@
 	f.end(old, job.Done)
 	f.hold()
 	f.is.Equal(f.hold().Acked, int64(0))
-	f.is.True(!f.Orphaned(f.now))
-	f.is.True(f.Orphaned(f.now + 2*orphanAfter))
+	f.is.True(!f.HasOrphanedEnds(f.now))
+	f.is.True(f.HasOrphanedEnds(f.now + 2*orphanAfter))
 }
 
 // A backend server answers quickly for a while; then a job whose tasks may not be
@@ -125,12 +125,12 @@
 func TestStartThatMayNotBeRepeatedIsWaitedForLonger(t *testing.T) {
 	f := newFixture(t)
 	for range 60 {
-		f.answers.learn(2 * time.Millisecond)
+		f.responses.observe(2 * time.Millisecond)
 	}
 	usual, once := f.order(1), f.order(2)
 	once.Once = true
-	f.is.Equal(f.take(f.Order(f.now, usual)).Starts[0].Patience, leastPatience)
-	f.is.Equal(f.take(f.Order(f.now, once)).Starts[0].Patience, mostPatience)
+	f.is.Equal(f.take(f.Order(f.now, usual)).Starts[0].ResponseTimeout, minResponseTimeout)
+	f.is.Equal(f.take(f.Order(f.now, once)).Starts[0].ResponseTimeout, maxResponseTimeout)
 }
 
 // A backend server answers starts in 2 ms, and its lists, of a thousand tasks on a busy
@@ -139,14 +139,14 @@
 func TestListsThatAreSlowAreWaitedFor(t *testing.T) {
 	f := newFixture(t)
 	for range 60 {
-		f.answers.learn(2 * time.Millisecond)
+		f.responses.observe(2 * time.Millisecond)
 	}
-	for want := leastPatience; want < mostPatience; want *= 2 {
+	for want := minResponseTimeout; want < maxResponseTimeout; want *= 2 {
 		c, ok := f.Hold(f.now)
 		f.is.True(ok)
-		f.is.True(c.Patience >= want)
+		f.is.True(c.ResponseTimeout >= want)
 		f.take(f.HoldFailed(f.now, c, NoAnswer))
 	}
 	c, _ := f.Hold(f.now)
-	f.is.Equal(c.Patience, mostPatience)
+	f.is.Equal(c.ResponseTimeout, maxResponseTimeout)
 }
--- a/coordination/worker/settle.go
+++ b/coordination/worker/settle.go
@@ -16,10 +16,10 @@
 	}
 	if void && !r.end.void {
 		r.end.void = true
-		w.lapsing = true
+		w.awaitLeaseExpiry = true
 		w.stats.Voided++
 	}
-	w.trimLocked()
+	w.acknowledgeLocked()
 }
 
 // settleLocked notes that no owner needs an end any more. An end that the backend server never
@@ -31,22 +31,22 @@
 	}
 }
 
-// trimLocked moves the acknowledgement past all settled ends. It stops at a void end: once that end
-// is acknowledged, a second run of its task would be a duplicate execution. After the lease has
-// expired, ends from before no longer count and void ends may be acknowledged.
+// acknowledgeLocked moves the acknowledgement past all settled ends. It stops at a void end: once
+// that end is acknowledged, a second run of its task would be a duplicate execution. After the
+// lease has expired, ends from before no longer count and void ends may be acknowledged.
 //
 // Ends of best-effort jobs may be acknowledged before they are settled: their tasks may run again
 // after a loss, and nothing of them is recorded. They are kept here until their owner has settled
 // them, but not on the backend server's list. A hold returns at once while the list has an end, so
 // the agent would send one hold after another.
-func (w *Worker) trimLocked() {
+func (w *Worker) acknowledgeLocked() {
 	for {
-		r := w.ends[w.acked+1]
-		if r == nil || r.end.void || !r.end.settled && !w.effortLocked(r) {
+		r := w.unackedEnds[w.acked+1]
+		if r == nil || r.end.void || !r.end.settled && !w.bestEffortLocked(r) {
 			return
 		}
 		w.acked++
-		delete(w.ends, w.acked)
+		delete(w.unackedEnds, w.acked)
 		if r.end.settled {
 			delete(w.runs, r.order.Run)
 			continue
@@ -55,10 +55,10 @@
 	}
 }
 
-// effortLocked reports whether a run is known to belong to a best-effort job.
-func (w *Worker) effortLocked(r *run) bool {
-	if !r.known {
-		return w.formerEffort
+// bestEffortLocked reports whether a run is known to belong to a best-effort job.
+func (w *Worker) bestEffortLocked(r *run) bool {
+	if !r.orderKnown {
+		return w.formerBestEffort
 	}
 	return r.order.Shard >= w.bounds.Shards
 }
--- a/coordination/worker/worker_test.go
+++ b/coordination/worker/worker_test.go
@@ -16,7 +16,7 @@
 	private = testShards + 7
 )
 
-var testBounds = Bounds{Lease: time.Second, OwnerSilence: 1300 * time.Millisecond, Relink: 600 * time.Millisecond, Adoption: 300 * time.Millisecond, Shards: testShards}
+var testBounds = Bounds{Lease: time.Second, OwnerTimeout: 1300 * time.Millisecond, ReconnectTimeout: 600 * time.Millisecond, AdoptionTimeout: 300 * time.Millisecond, Shards: testShards}
 
 // recorded is a shard whose jobs are recorded.
 const recorded = 0
@@ -88,16 +88,16 @@
 func (f *fixture) hold() HoldCall {
 	c, ok := f.Hold(f.now)
 	f.is.True(ok)
-	h := Holding{ClockMS: f.clock}
+	h := HoldResult{ClockMS: f.clock}
 	for run := range f.alive {
-		h.Active = append(h.Active, Listed{Run: run})
+		h.Active = append(h.Active, ListedRun{Run: run})
 	}
 	for _, e := range f.ends {
 		if e.Seq > c.Acked {
 			h.Ends = append(h.Ends, e)
 		}
 	}
-	f.confirm(f.take(f.Held(f.now, c, h)))
+	f.confirm(f.take(f.HoldAnswered(f.now, c, h)))
 	return c
 }
 
@@ -130,7 +130,7 @@
 	f.end(f.order(0).Run, job.Done)
 	f.is.Equal(f.Load(f.now).Free.CPUMillis, int64(0)) // room is free only when the end is listed
 	c, _ := f.Hold(f.now)
-	fx := f.Held(f.now, c, Holding{ClockMS: f.clock, Active: []Listed{{Run: f.order(1).Run}}, Ends: f.ends})
+	fx := f.HoldAnswered(f.now, c, HoldResult{ClockMS: f.clock, Active: []ListedRun{{Run: f.order(1).Run}}, Ends: f.ends})
 	f.is.Equal(len(fx.Starts), 1)
 }
 
@@ -151,7 +151,7 @@
 	}
 	f.end(f.order(0).Run, job.Done)
 	c, _ := f.Hold(f.now)
-	fx := f.take(f.Held(f.now, c, Holding{ClockMS: f.clock, Active: []Listed{{Run: f.order(1).Run}}, Ends: f.ends}))
+	fx := f.take(f.HoldAnswered(f.now, c, HoldResult{ClockMS: f.clock, Active: []ListedRun{{Run: f.order(1).Run}}, Ends: f.ends}))
 	f.is.Equal(len(fx.Starts), 1)
 	f.is.Equal(fx.Starts[0].Run, late.Run)
 }
@@ -246,7 +246,7 @@
 	f.is.Equal(len(f.ended()), 0)
 	f.is.True(f.Load(f.now).Accepts)
 	f.is.True(f.hold().Lossy)
-	f.pass(lossMemory)
+	f.pass(lossyPeriod)
 	f.is.True(!f.hold().Lossy)
 }
 
@@ -257,7 +257,7 @@
 	for i := range 3 {
 		f.send(f.order(i))
 	}
-	for range silentHolds {
+	for range maxMissedHolds {
 		f.is.Equal(len(f.ended()), 0) // a single lost answer costs nothing
 		c, _ := f.Hold(f.now)
 		f.take(f.HoldFailed(f.now, c, NoAnswer))
@@ -301,7 +301,7 @@
 		f.Settled(f.order(i).Run, false)
 	}
 	f.is.True(f.Load(f.now).Slowdown > 1.5)
-	f.pass(3 * slowMemory)
+	f.pass(3 * slowdownDecay)
 	f.is.Equal(f.Load(f.now).Slowdown, 1.0)
 }
 
@@ -340,7 +340,7 @@
 	f := newFixture(t)
 	c, _ := f.Hold(f.now)
 	f.send(f.order(0))
-	f.take(f.Held(f.now, c, Holding{ClockMS: f.clock}))
+	f.take(f.HoldAnswered(f.now, c, HoldResult{ClockMS: f.clock}))
 	f.is.Equal(len(f.ended()), 0)
 	f.is.Equal(f.Load(f.now).Running, 1)
 }
@@ -375,13 +375,13 @@
 	f := newFixture(t)
 	f.send(f.order(0))
 	c, _ := f.Hold(f.now)
-	h := Holding{ClockMS: f.clock}
-	for i := range fullList {
+	h := HoldResult{ClockMS: f.clock}
+	for i := range maxListedEnds {
 		run := job.RunID{Task: job.TaskID{Job: "00000000000000bb", Index: i}, Number: 1}
 		h.Ends = append(h.Ends, ListedEnd{Seq: int64(i + 1), Run: run, Kind: job.Done})
 	}
 	f.got = nil
-	f.take(f.Held(f.now, c, h))
+	f.take(f.HoldAnswered(f.now, c, h))
 	for _, e := range f.ended() {
 		f.is.True(e.Run != f.order(0).Run)
 	}
@@ -405,7 +405,7 @@
 // counts on the silence and has started the task elsewhere.
 func TestOrderAfterASuspensionIsDropped(t *testing.T) {
 	f := newFixture(t)
-	f.pass(testBounds.OwnerSilence)
+	f.pass(testBounds.OwnerTimeout)
 	fx := f.take(f.Order(f.now, f.order(0)))
 	f.is.Equal(len(fx.Starts), 0)
 	f.is.True(!f.Heard(f.now, "owner-"+strconv.Itoa(private))) // it has to claim anew
@@ -420,7 +420,7 @@
 		f.pass(100 * time.Millisecond)
 		f.hold()
 	}
-	f.pass(testBounds.OwnerSilence - 1200*time.Millisecond - time.Millisecond)
+	f.pass(testBounds.OwnerTimeout - 1200*time.Millisecond - time.Millisecond)
 	f.is.Equal(len(f.Tick(f.now).Stops), 0)
 	f.pass(time.Millisecond)
 	f.is.Equal(len(f.Tick(f.now).Stops), 1)
@@ -538,7 +538,7 @@
 	f.is.Equal(len(f.ended()), 1)
 	c := f.hold()
 	f.is.Equal(c.Acked, int64(1))
-	f.is.True(!c.Known)
+	f.is.True(!c.UnackedEnds)
 	runs := f.claim(private, 1, 2).Runs
 	f.is.Equal(len(runs), 1) // its owner may not have heard of it
 	f.is.Equal(runs[0].End, job.Done)
@@ -552,7 +552,7 @@
 	f.send(f.order(0))
 	f.end(f.order(0).Run, job.Done)
 	f.hold()
-	f.pass(testBounds.OwnerSilence)
+	f.pass(testBounds.OwnerTimeout)
 	f.hold()
 	f.is.Equal(len(f.claim(private, 1, 2).Runs), 0)
 }
@@ -569,11 +569,11 @@
 	f.hold()
 	c := f.hold()
 	f.is.Equal(c.Acked, int64(0))
-	f.is.True(c.Known)
+	f.is.True(c.UnackedEnds)
 	f.Settled(o.Run, false)
 	c = f.hold()
 	f.is.Equal(c.Acked, int64(1))
-	f.is.True(!c.Known)
+	f.is.True(!c.UnackedEnds)
 }
 
 // The backend server can't be reached. Its room is free, and the runs are lost,
@@ -685,13 +685,13 @@
 // last attempt of one job after another.
 func TestServerThatFailsEverythingIsSuspended(t *testing.T) {
 	f := newFixture(t)
-	for i := range failuresInRow {
+	for i := range maxConsecutiveFailures {
 		f.send(f.order(i))
 		f.end(f.order(i).Run, job.FailedRun)
 		f.hold()
 	}
 	f.is.True(!f.Load(f.now).Accepts)
-	f.pass(suspension)
+	f.pass(minSuspension)
 	f.Heard(f.now, "owner-"+strconv.Itoa(private))
 	f.take(f.Tick(f.now))
 	f.is.True(f.Load(f.now).Accepts) // it is tried again
@@ -788,7 +788,7 @@
 	}
 	f.Claim(f.now, own(1, 1))
 	f.Claim(f.now, own(2, 1))
-	f.pass(2 * testBounds.OwnerSilence)
+	f.pass(2 * testBounds.OwnerTimeout)
 	f.is.True(!f.Heard(f.now, "owner")) // what a healed link delivers late revives nothing
 
 	f.Claim(f.now, own(1, 2)) // it has shard 2 no more
--- a/daemon/agent/notes.go
+++ b/daemon/agent/notes.go
@@ -39,7 +39,7 @@
 
 // notes are an agent's, under its name as key.
 type notes struct {
-	// Owners are those whose orders the agent has taken; see worker.Former.
+	// Owners are those whose orders the agent has taken; see worker.SetFormerOwners.
 	Owners []string `json:"owners"`
 	// Member is the agent's last name in the group that shares out the shards.
 	Member string `json:"member,omitempty"`
@@ -124,7 +124,7 @@
 func (a *Agent) writeNotes(ctx context.Context) {
 	n := notes{Owners: a.placed.owners(), Member: a.member, Registered: a.registered.Load()}
 	if s, ok := a.worker.Server(); ok {
-		n.Server = known(s, a.worker.Varies())
+		n.Server = known(s, a.worker.CapacityChanged())
 	}
 	b, err := json.Marshal(&n)
 	if err != nil {
--- a/daemon/agent/placers.go
+++ b/daemon/agent/placers.go
@@ -20,7 +20,7 @@
 
 // placersLog knows whose orders this agent has taken. It is written down in the agent's
 // notes, so that its next life knows of whom the runs can be that it finds at its
-// backend server. See worker.Former.
+// backend server. See worker.SetFormerOwners.
 type placersLog struct {
 	mu sync.Mutex
 	// All fields below are guarded by mu.
