--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -101,7 +101,7 @@
 func (a *fakeAgent) keepBooks() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.books = worker.New(worker.Bounds{Lease: time.Second, OwnerSilence: core.OwnerSilence, Relink: core.Relink, Adoption: core.Adoption, Shards: coretest.Shards})
+	a.books = worker.New(worker.Bounds{Lease: time.Second, OwnerTimeout: core.OwnerSilence, ReconnectTimeout: core.Relink, AdoptionTimeout: core.Adoption, Shards: coretest.Shards})
 }
 
 // breakLink ends the link on which the next frame comes.
