--- a/daemon/core/bounds.go
+++ b/daemon/core/bounds.go
@@ -8,44 +8,45 @@
 )
 
 const (
-	// OwnerSilence is how long an owner may be silent before its runs are
-	// stopped: longer than a link takes to be found lost and made anew (0.7 s,
-	// a pause and a dial), so that a silent connection stops nothing.
+	// OwnerSilenceTimeout is how long an owner may be silent before an agent stops its
+	// runs. It exceeds the time to detect a lost link (0.7 s) and to connect again (a backoff
+	// and a dial), so that one silent connection stops no run.
 	OwnerSilenceTimeout = 1300 * time.Millisecond
-	// Relink is how long an owner may take to make a lost link anew; it dials
-	// again within 0.3 s. Clients of an entry that was killed send their jobs
-	// again after 1.3 s.
+	// RelinkTimeout is how long an owner may take to reconnect after its link has ended. It
+	// dials again within 0.3 s. Clients of a killed entry resubmit their jobs after 1.3 s.
 	RelinkTimeout = 700 * time.Millisecond
-	// Adoption is how long a run of this agent's earlier life waits for its
-	// owner: a lost link is dialled again within 0.3 s.
+	// AdoptionTimeout is how long a run of an earlier incarnation of the agent may wait for
+	// its owner to claim it. The owner dials a lost link again within 0.3 s.
 	AdoptionTimeout = 400 * time.Millisecond
-	// GroupTTL is the membership's time to live at least: a dead agent's
-	// shards are without an owner for that long, a slow call must fit into it.
+	// GroupTTL is the minimum time to live of a group membership. The shards of a dead agent
+	// have no owner for that long, and a slow Join call must fit into it.
 	GroupTTL = 1200 * time.Millisecond
-	// JoinEvery is the pace of joins; four fit into the time to live.
+	// JoinInterval is the interval between two Join calls. Four fit into GroupTTL.
 	JoinInterval = 250 * time.Millisecond
-	// RenewLimit is how long after its last successful join an owner goes on
-	// renewing what it has ordered: longer than the store's usual outages.
+	// RenewLimit is how long after its last successful Join an owner continues to renew the
+	// leases of its runs. It exceeds the usual outages of the store.
 	RenewLimit = 6 * time.Second
-	// lazyWrite is how long an end may wait for its record: a fraction of the
-	// platform's 4 s to acknowledge it.
+	// maxWriteDelay is how long the record of a run's end may be delayed: a fraction of the
+	// 4 s within which the platform expects the end to be acknowledged.
 	maxWriteDelay = 700 * time.Millisecond
-	// leaseSlack covers what a lease lasts beyond its nominal time on a slow
-	// clock, the stop and the agent's ticks.
+	// leaseSlack covers the time that a lease lasts longer on a slow clock, the stop of the
+	// run, and the agent's tick interval.
 	leaseSlack = 300 * time.Millisecond
-	// TickEvery is the pace of a shard's clock.
+	// TickInterval is the interval between two ticks of a shard's state machine.
 	TickInterval = 50 * time.Millisecond
-	// CoverWait is how long a job waits for links to agents that offer what it needs, where
-	// too few of the linked ones do: a dial and the first news take 30 ms.
+	// LinkWaitTimeout is how long a job waits for new links when too few of the linked agents
+	// offer what it needs. A dial and the first load report take 30 ms.
 	LinkWaitTimeout = 200 * time.Millisecond
-	// ConfigWait is how long a read of the configuration waits for news; with
-	// followSlack a silent connection is found within the platform's 2 s.
+	// ConfigWait is how long a read of the configuration waits for new records. With
+	// followSlack added, a silent connection is detected within the platform's limit of 2 s.
 	ConfigWait = 600 * time.Millisecond
-	// OwnersGroup is the name under which agents share the shards.
+	// OwnersGroup is the group among whose members, the agents, the store distributes the
+	// shards.
 	OwnersGroup = "owners"
 )
 
-// OwnerBounds are those of an owner, of recorded jobs or of an entry's.
+// OwnerBounds returns the time limits of an owner. They hold for recorded jobs and for the
+// best-effort jobs of an entry.
 func OwnerBounds(s *settings.Settings) owner.Bounds {
 	lostLinkTimeout := OwnerSilenceTimeout + s.Bounds.Lease + leaseSlack
 	return owner.Bounds{
--- a/daemon/core/drains.go
+++ b/daemon/core/drains.go
@@ -16,52 +16,56 @@
 	"github.com/shallotstep/shallotstep/transport/metrics"
 )
 
-// Entries read the operators' drains in the store, and every frame between two processes
-// tells what its sender knows. So an agent needs no call of its own, and an entry that has
-// lost the store learns of drains from its agents. An agent whose callers have not heard
-// from the store for a while reads it itself: they may be cut off from it while the agent
-// is not, and would go on sending orders.
-
-// DrainSource is where the operators' drains of failure domains stand.
+// Entries read the operators' drains from the store, and every frame between two processes
+// carries the state that its sender knows. An agent therefore needs no store calls of its own,
+// and an entry that has lost the store learns of drains from its agents. If none of an agent's
+// callers has had a confirmation from the store for a while, the agent reads the store itself:
+// the callers may be cut off from the store while the agent is not, and would continue to send
+// orders to a drained domain.
+
+// DrainSource is the partition that holds the operators' drains of failure domains, and the
+// decoder of its records.
 type DrainSource struct {
 	Partition store.Partition
-	// Decode reads a record; it is false for records of other kinds. An error leaves what is
-	// known as it is.
+	// Decode decodes a record. It returns false for records of other kinds. A record with an
+	// error is skipped.
 	Decode func(store.Record) (drains.Change, bool, error)
 }
 
-// DrainWatch is what a process knows of drains, and acts on a change.
+// DrainWatch holds the drains that a process knows of and calls a function when they change. It
+// is safe for concurrent use.
 type DrainWatch struct {
 	source   DrainSource
 	tracker  drains.Tracker
 	onChange func(drains.State)
-	// acting keeps changes in their order: an older state that went into force after a newer
-	// one would stay.
+	// notifyMu serializes the calls of onChange with the read of the newest state. Otherwise
+	// an older state could be applied after a newer one and stay in force.
 	notifyMu sync.Mutex
 }
 
-// NewDrainWatch returns a watch that knows nothing yet. The function has a changed state go
-// into force; it is called with one state at a time.
+// NewDrainWatch returns a DrainWatch that knows no state yet. onChange applies a changed state;
+// it is not called concurrently.
 func NewDrainWatch(source DrainSource, onChange func(drains.State)) *DrainWatch {
 	return &DrainWatch{source: source, onChange: onChange}
 }
 
-// State is what is in force.
+// State returns the drains in force.
 func (w *DrainWatch) State() drains.State { return w.tracker.State() }
 
-// Age is how long ago the store confirmed what is known.
+// Age returns how long ago the store confirmed the known state. now is a reading of the boot
+// clock.
 func (w *DrainWatch) Age(now time.Duration) time.Duration {
 	_, age := w.tracker.Latest(now)
 	return age
 }
 
-// Frame is what a frame tells.
+// ToWire returns the known state and its age as a frame carries them.
 func (w *DrainWatch) ToWire() *corepb.Drains {
 	state, age := w.tracker.Latest(bootclock.Now())
 	return wire.DrainsToWire(state, age)
 }
 
-// Told takes in what a frame says.
+// Merge merges the state that a frame carries. A nil message is ignored.
 func (w *DrainWatch) Merge(p *corepb.Drains) {
 	if p == nil {
 		return
@@ -72,7 +76,8 @@
 	}
 }
 
-// act has the newest state go into force.
+// notify calls onChange with the newest state. origin is logged: "told" for a state from a
+// frame, "store" for one that was read.
 func (w *DrainWatch) notify(origin string) {
 	w.notifyMu.Lock()
 	defer w.notifyMu.Unlock()
@@ -81,8 +86,8 @@
 	w.onChange(state)
 }
 
-// Follow keeps the watch up to date from the store until the context ends. Other gets each
-// record of the partition as well, if it is set.
+// Follow updates the state from the store until the context ends. If other is not nil, it is
+// called with each record of the partition as well. name identifies the reader in log lines.
 func (w *DrainWatch) Follow(ctx context.Context, st store.Store, name string, other func(store.Record)) {
 	replayer := drains.NewReplayer(&w.tracker)
 	f := &follower{
@@ -98,15 +103,16 @@
 	f.run(ctx)
 }
 
-// Partition is where the records stand.
+// Partition returns the partition that holds the drain records.
 func (w *DrainWatch) Partition() store.Partition { return w.source.Partition }
 
-// apply hands a record to a reader, if it is one of a drain.
+// applyRecord applies a record to the replayer if it is a drain record. Malformed records are
+// counted and skipped.
 func (w *DrainWatch) applyRecord(replayer *drains.Replayer, r store.Record) {
 	change, ok, err := w.source.Decode(r)
 	if err != nil {
 		metrics.Malformed(metrics.KindDrain)
-		klog.ErrorS(err, "A drain can't be read and is left out")
+		klog.ErrorS(err, "Skipped a malformed drain record")
 		return
 	}
 	if ok {
@@ -114,14 +120,15 @@
 	}
 }
 
-// reached notes how far the records were read.
+// publish makes the replayed state known, once all records before a position were applied.
 func (w *DrainWatch) publish(replayer *drains.Replayer, position int64) {
 	if replayer.Publish(bootclock.Now(), position) {
 		w.notify("store")
 	}
 }
 
-// Look reads what has come to the store since the newest state that is known.
+// Refresh reads the records that the store has received since the newest known state. It
+// returns the error of the store call, which is bounded by StoreTimeout.
 func (w *DrainWatch) Refresh(ctx context.Context, st store.Store) error {
 	ctx, cancel := context.WithTimeout(ctx, StoreTimeout)
 	defer cancel()
@@ -141,10 +148,11 @@
 	return nil
 }
 
-// since reads the records from a position on.
+// readSince reads the records from a position on. It returns store.ErrTrimmed if the newest
+// record of each key has to be read instead.
 func (w *DrainWatch) readSince(ctx context.Context, st store.Store, position int64) ([]store.Record, int64, error) {
 	if position == 0 {
-		return nil, 0, store.ErrTrimmed // all there are have to be read
+		return nil, 0, store.ErrTrimmed // no state is known yet
 	}
 	return st.Follow(ctx, w.source.Partition, position, 0)
 }
--- a/daemon/core/known_agents.go
+++ b/daemon/core/known_agents.go
@@ -10,7 +10,8 @@
 	"github.com/shallotstep/shallotstep/transport/metrics"
 )
 
-// Follow learns of agents by the registry until the context ends.
+// FollowRegistry updates the known agents from the registry, and reconciles the links, until the
+// context ends.
 func (l *LinkSet) FollowRegistry(ctx context.Context, st store.Store) {
 	f := &follower{
 		store: st, partition: RegistryPartition, wait: registryWait, batchDelay: registryBatchDelay, name: "registry",
@@ -24,7 +25,8 @@
 	f.run(ctx)
 }
 
-// learn takes in a record of the registry.
+// applyRecord updates the known agents with a record of the registry. A record without a value
+// removes the agent. Malformed records are counted and skipped.
 func (l *LinkSet) applyRecord(r store.Record) {
 	if r.Value == nil {
 		l.mu.Lock()
@@ -36,7 +38,7 @@
 	reg, err := decodeRegistration(r)
 	if err != nil {
 		metrics.Malformed(metrics.KindRegistration)
-		klog.ErrorS(err, "A record of the registry is malformed")
+		klog.ErrorS(err, "Skipped a malformed record of the registry")
 		return
 	}
 	l.mu.Lock()
@@ -48,14 +50,16 @@
 	l.orphansSeen = l.orphansSeen || reg.Orphans
 }
 
-// Needed reports whether agents have ends that wait for owners.
+// HasOrphans reports whether an agent has announced run ends that wait for the owners of their
+// shards.
 func (l *LinkSet) HasOrphans() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.orphansSeen
 }
 
-// WithOrphans names the agents that have ends which wait for owners.
+// AgentsWithOrphans returns the agents that currently announce run ends that wait for the owners
+// of their shards.
 func (l *LinkSet) AgentsWithOrphans() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,8 +75,8 @@
 	return out
 }
 
-// Domains counts the known agents of each failure domain; false before the registry was
-// read.
+// AgentsPerDomain returns the number of known agents of each failure domain, and whether the
+// registry has been read.
 func (l *LinkSet) AgentsPerDomain() (map[string]int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/daemon/core/links.go
+++ b/daemon/core/links.go
@@ -1,5 +1,6 @@
-// Package core has what entries and agents share: their links to agents, their readers of the
-// store, what they know of drains, and the driver of a shard's machine.
+// Package core holds the parts that entries and agents share: the set of links to agents, the
+// agent registry, the followers of keyed partitions, the drain state, the metrics, and the driver
+// of a shard's state machine.
 package core
 
 import (
@@ -19,55 +20,60 @@
 )
 
 const (
-	// darkAfter is how long a link may be down before another agent stands in for it.
-	// A lost link is dialled again within 0.3 s, a process is back within a second.
+	// downTimeout is how long a link may be down before another agent is linked in its place.
+	// A lost link is dialled again within 0.3 s, and a restarted process is back within a
+	// second.
 	downTimeout = time.Second
-	// retireAfter is the least time for which a link that is not wanted any more stays:
-	// news of what was ordered there last is on its way.
+	// retireDelay is the minimum time for which a link is kept once it is no longer wanted:
+	// events of the last orders sent on it may still be in flight.
 	retireDelay = time.Second
-	// linksEvery is the pace at which the links are compared with what is wanted.
+	// reconcileInterval is the interval between two comparisons of the links with the wanted
+	// ones.
 	reconcileInterval = 150 * time.Millisecond
 )
 
-// linkUser is the process whose links a set keeps. Its methods may be called at any time
-// but while it holds a lock of its own.
+// linkUser is the process that a LinkSet keeps links for. The set may call its methods at any time,
+// also during a call of the user to the set, so the user must not hold a lock of its own then.
 type linkUser interface {
-	// Share is what the process holds of the hash buckets by which agents are chosen.
+	// Share returns the hash buckets that the process holds. The choice of agents depends on
+	// them.
 	Share() subset.Share
-	// Required names agents that have to be linked whatever the choice is.
+	// Required returns agents that have to be linked even if they are not in the subset.
 	Required() []string
-	// MayHaveRunsAt reports whether anything of this process may be at an agent.
+	// MayHaveRunsAt reports whether an agent may have a run of this process, or a run end that
+	// is not settled.
 	MayHaveRunsAt(node string) bool
 }
 
-// WorkPlacer places the user's work on the linked agents. It is an owner.Fleet.
+// WorkPlacer places work on the linked agents. It is implemented by owner.Fleet.
 type WorkPlacer interface {
-	// SetRetired says whether an agent gets no new work: its link is about to end, or is there
-	// because it is required.
+	// SetRetired sets whether an agent gets no new work, because its link is about to end or
+	// exists only because the agent is required.
 	SetRetired(node string, retired bool)
-	// FreeShare is the part of some agents' cores that is free.
+	// FreeShare returns the free share of the cores of some agents, between 0 and 1.
 	FreeShare(nodes []string) float64
 }
 
 // AgentLink is a link to an agent.
 type AgentLink interface {
 	Close()
-	// Up reports whether frames go both ways.
+	// Up reports whether frames can be sent and received.
 	Up() bool
 }
 
-// LinkSet knows the registered agents and, while it is open, keeps links to a subset of
-// them, to those that its user requires, and to those that can run what is asked for.
+// LinkSet knows the registered agents. While it is open it keeps links to a subset of them, to
+// the agents that its user requires, and to agents that can run what recent jobs need. It is safe
+// for concurrent use.
 type LinkSet struct {
 	dial    func(node string, reg Registration) AgentLink
 	user    linkUser
 	placer  WorkPlacer
 	metrics *Metrics
-	// size is the number of links to agents that are there.
+	// size is the size of the subset; zero or less means all agents.
 	size int
 
-	// changing is held while links are dialled and closed. Closing one waits for
-	// its handler, which uses the set, so mu must not be held meanwhile.
+	// changeMu is held while links are dialled and closed. To close a link waits for its
+	// handler, which uses the set, so mu must not be held meanwhile.
 	changeMu sync.Mutex
 
 	mu sync.Mutex
@@ -75,37 +81,39 @@
 
 	links map[string]*managedLink
 	known map[string]Registration
-	// order is that in which agents are preferred; nil: to be found anew. It was found
-	// for the share.
+	// order holds the known agents in order of preference, computed for share. nil means that
+	// it has to be computed again.
 	order []string
 	share subset.Share
-	// added are the agents that the subset has been stretched by.
+	// extraAgents holds the agents that the expander has added to the subset.
 	extraAgents []string
 	expander    subset.Expander
 	needs       needs
-	// drained are the failure domains in which nothing is newly started.
+	// drained holds the failure domains in which no new work is started.
 	drained drains.State
-	// orphans is set once an agent has announced ends that only owners can settle.
+	// orphansSeen is set once an agent has announced run ends that only the owners of their
+	// shards can settle.
 	orphansSeen bool
-	// wasRead is set once the registry was read.
+	// registryRead is set once the registry has been read.
 	registryRead bool
 	isOpen       bool
 }
 
-// keptLink is a link and what is known of it. Guarded by linkSet.mu.
+// managedLink is a link and its state. Guarded by LinkSet.mu.
 type managedLink struct {
 	AgentLink
 	addr string
-	// downSince is since when it was seen down; zero: it is up, or was not looked at.
+	// downSince is when the link was first seen down. Zero means that it was up when it was
+	// last checked, or was not checked yet.
 	downSince time.Duration
-	// retiredAt is when it stopped being wanted; zero: it is wanted.
+	// retiredAt is when the link was no longer wanted. Zero means that it is wanted.
 	retiredAt time.Duration
-	// works is set while new work may go to the agent.
+	// assignable is set while new work may be placed on the agent.
 	assignable bool
 }
 
-// NewLinkSet returns a set that is not open. The size is that of the subset; zero takes
-// all agents.
+// NewLinkSet returns a set that is not open. size is the size of the subset; zero means all
+// agents. dial starts a link to an agent.
 func NewLinkSet(size int, user linkUser, placer WorkPlacer, m *Metrics, dial func(node string, reg Registration) AgentLink) *LinkSet {
 	return &LinkSet{
 		dial: dial, user: user, placer: placer, metrics: m, size: size,
@@ -114,27 +122,27 @@
 	}
 }
 
-// Maintain keeps the links as they are wanted until the context ends.
+// Maintain reconciles the links every reconcileInterval until the context ends.
 func (l *LinkSet) Maintain(ctx context.Context) {
 	for pause.For(ctx, reconcileInterval) == nil {
 		l.Reconcile(bootclock.Now())
 	}
 }
 
-// Apply takes in a record of the registry and links its agent, if it is wanted.
+// Apply applies a record of the registry and reconciles the links.
 func (l *LinkSet) Apply(r store.Record) {
 	l.applyRecord(r)
 	l.Reconcile(bootclock.Now())
 }
 
-// Opened reports whether the set is open.
+// IsOpen reports whether the set is open.
 func (l *LinkSet) IsOpen() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.isOpen
 }
 
-// Reach is how many agents the set is to link; false before the registry was read.
+// NumWanted returns the number of wanted links, and whether the registry has been read.
 func (l *LinkSet) NumWanted() (int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,7 +155,7 @@
 	return wanted, l.registryRead
 }
 
-// Settled reports whether all links that are wanted are up.
+// AllWantedUp reports whether all wanted links are up.
 func (l *LinkSet) AllWantedUp() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,6 +167,7 @@
 	return true
 }
 
+// sizeLocked returns the number of agents in the subset.
 func (l *LinkSet) sizeLocked() int {
 	if l.size <= 0 {
 		return len(l.known)
@@ -166,7 +175,7 @@
 	return l.size
 }
 
-// Open links the agents that are wanted, now and as they come.
+// Open links the wanted agents, and from then on those that are registered later.
 func (l *LinkSet) Open() {
 	l.mu.Lock()
 	wasOpen := l.isOpen
@@ -177,7 +186,7 @@
 	}
 }
 
-// Close ends all links. The agents stay known.
+// Close closes all links. The agents remain known, and the set can be opened again.
 func (l *LinkSet) Close() {
 	l.changeMu.Lock()
 	defer l.changeMu.Unlock()
@@ -190,22 +199,23 @@
 	}
 }
 
-// full takes in that a job found no room.
+// recordRefusal records that a job found too little free capacity, so that the subset may be
+// expanded.
 func (l *LinkSet) recordRefusal(now time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expander.RecordRefusal(now)
 }
 
-// Drain takes in which failure domains are drained. Their agents stay linked, since what
-// runs there runs on, and others are linked beside them.
+// SetDrained sets which failure domains are drained. Their agents stay linked, since their runs
+// continue, and other agents are linked in addition.
 func (l *LinkSet) SetDrained(s drains.State) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.drained = s
 }
 
-// SendAll adds to the next frame for each linked agent.
+// SendAll calls Send for each linked agent.
 func (l *LinkSet) SendAll(fill func(*corepb.ToAgent)) {
 	l.mu.Lock()
 	nodes := slices.Collect(maps.Keys(l.links))
@@ -215,7 +225,7 @@
 	}
 }
 
-// replace dials an agent at its address, in place of a link to an older one.
+// replace dials an agent at its registered address, after closing its old link if there is one.
 func (l *LinkSet) replace(node string, reg Registration, assignable bool) {
 	l.Drop(node)
 	link := l.dial(node, reg)
@@ -224,7 +234,7 @@
 	l.links[node] = &managedLink{AgentLink: link, addr: reg.LinkAddr, assignable: assignable}
 }
 
-// Drop ends the link to an agent, if there is one.
+// Drop closes the link to an agent, if there is one.
 func (l *LinkSet) Drop(node string) {
 	l.mu.Lock()
 	link := l.links[node]
@@ -235,7 +245,7 @@
 	}
 }
 
-// Get returns the link to an agent, or nil.
+// Get returns the link to an agent, or nil if there is none.
 func (l *LinkSet) Get(node string) *peer.Link {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -247,7 +257,7 @@
 	return link
 }
 
-// AnyUp reports whether a link is up.
+// AnyUp reports whether at least one link is up.
 func (l *LinkSet) AnyUp() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -259,21 +269,22 @@
 	return false
 }
 
-// renew has the link to an agent made anew.
+// renew ends the session of the link to an agent, so that the link connects again.
 func (l *LinkSet) renew(node string) {
 	if link := l.Get(node); link != nil {
 		link.Renew()
 	}
 }
 
-// Send adds to the next frame for an agent, if its link is up.
+// Send lets fill extend the next frame for an agent, which is sent at once. It does nothing while
+// the link is down.
 func (l *LinkSet) Send(node string, fill func(*corepb.ToAgent)) {
 	if link := l.Get(node); link != nil {
 		link.Send(fill)
 	}
 }
 
-// sendQuietly is send for what may wait for a frame that goes out anyway.
+// sendQuietly is like Send, for content that may wait for the next frame that is sent anyway.
 func (l *LinkSet) sendQuietly(node string, fill func(*corepb.ToAgent)) {
 	if link := l.Get(node); link != nil {
 		link.SendQuietly(fill)
--- a/daemon/core/links_test.go
+++ b/daemon/core/links_test.go
@@ -15,7 +15,7 @@
 	"github.com/shallotstep/shallotstep/state/store"
 )
 
-// dialledLinks stands for the links of a set, by agent and address.
+// dialledLinks records the open links of a set: the dialled address by agent.
 type dialledLinks map[string]string
 
 type fakeLink struct {
@@ -27,7 +27,7 @@
 func (l *fakeLink) Close()   { delete(l.all, l.node) }
 func (l *fakeLink) Up() bool { return !l.down }
 
-// fakeUser is what a set of links belongs to, and places its work.
+// fakeUser is the linkUser and the WorkPlacer of a LinkSet.
 type fakeUser struct {
 	share       subset.Share
 	required    []string
@@ -46,7 +46,7 @@
 	return &fakeUser{share: subset.FallbackShare("a"), mayHaveRuns: make(map[string]bool), retired: make(map[string]bool)}
 }
 
-// newFakeLinkSet returns a set of so many links; zero: of all.
+// newFakeLinkSet returns a set whose subset has the given size; zero means all agents.
 func newFakeLinkSet(size int, user linkUser, placer WorkPlacer) (*LinkSet, dialledLinks) {
 	all := dialledLinks{}
 	return NewLinkSet(size, user, placer, NewMetrics(), func(node string, reg Registration) AgentLink {
@@ -59,8 +59,8 @@
 	return store.Record{Key: node, Value: []byte(`{"links":"` + addr + `"}`)}
 }
 
-// An agent came back at another address while no links were kept. The set has
-// learnt of it, and of one that was taken away.
+// Guards against links to stale addresses: while the set is closed, one agent is registered at
+// another address and another is removed from the registry.
 func TestLinksFollowAgentAddresses(t *testing.T) {
 	is := is.New(t)
 	user := newFakeUser()
@@ -77,7 +77,7 @@
 	is.Equal(all, dialledLinks{"b": "10.0.0.6:7"})
 }
 
-// registerFleet makes agents known, in five failure domains, with a label on each tenth.
+// registerFleet registers agents in five failure domains. Each tenth agent has the label "wide".
 func registerFleet(l *LinkSet, agents int) {
 	for i := range agents {
 		label := "plain"
@@ -89,7 +89,8 @@
 	}
 }
 
-// newLinkedFleet returns a set that has linked its part of 160 agents, and when it did.
+// newLinkedFleet returns a set that has linked its subset of 160 agents, its open links, and the
+// time at which it linked them.
 func newLinkedFleet(size int, user *fakeUser) (*LinkSet, dialledLinks, time.Duration) {
 	links, all := newFakeLinkSet(size, user, user)
 	links.Open()
@@ -98,17 +99,17 @@
 	return links, all, time.Hour
 }
 
-// With a link to each of 160 agents an entry spends its processor time on signs of life,
-// and decides worse. It links 32, and as many of each failure domain.
+// Guards against links to all agents: with a link to each of 160 agents an entry spends its
+// processor time on heartbeats and its placement decisions get worse. It links a subset of 32.
 func TestEntryLinksASubset(t *testing.T) {
 	is := is.New(t)
 	_, all, _ := newLinkedFleet(32, newFakeUser())
 	is.Equal(len(all), 32)
 }
 
-// Half of the agents of a subset go down. Others stand in for them, within bounds, and
-// leave again when the down ones are back, but not before their last run has ended: a link
-// that ends cuts off what runs behind it.
+// Half of the links of a subset go down. Replacements are linked, and are dropped when the links are
+// up again, but not before the last run at a replacement has ended: closing a link cuts off the runs
+// behind it.
 func TestDownAgentsAreReplaced(t *testing.T) {
 	is := is.New(t)
 	user := newFakeUser()
@@ -148,8 +149,9 @@
 	is.Equal(len(all), 16)
 }
 
-// Guards against an entry that has a fifth less room than others because a failure domain is
-// drained, and against runs that are cut off there: others stand in, and the links stay.
+// Guards against a loss of a fifth of an entry's capacity when one of five failure domains is
+// drained, and against runs that are cut off there: other agents are linked in addition, and the
+// links to the drained ones stay.
 func TestDrainedAgentsAreReplaced(t *testing.T) {
 	is := is.New(t)
 	user := newFakeUser()
@@ -173,7 +175,7 @@
 	is.Equal(all, before)
 }
 
-// Guards against a need that is taken for served by agents that get nothing.
+// Guards against counting agents of a drained domain, which get no work, as agents that meet a need.
 func TestNeedsIgnoreDrainedAgents(t *testing.T) {
 	is := is.New(t)
 	links, all, now := newLinkedFleet(16, newFakeUser())
@@ -181,12 +183,12 @@
 	spec := &job.Spec{Steps: []job.Step{{Count: 1, Label: "wide", Demand: job.Demand{CPUMillis: 1000}}}}
 	links.RecordNeed(now, spec, &job.Policy{Service: "desk"})
 	links.Reconcile(now)
-	is.True(len(all) <= 2*16) // all that have the label are in zone-0, and none is linked in vain
+	is.True(len(all) <= 2*16) // all agents with the label are in zone-0, so linking them would not help
 	links.SetDrained(drains.State{Position: 2})
 	is.True(links.RecordNeed(now+needTTL+1, spec, &job.Policy{Service: "desk"}))
 }
 
-// Guards against links of all agents, or a loop without end, when every domain is drained.
+// Guards against links to all agents, or an endless loop, when every domain is drained.
 func TestLinksAreBoundedWhenAllDomainsAreDrained(t *testing.T) {
 	is := is.New(t)
 	links, all, now := newLinkedFleet(16, newFakeUser())
@@ -195,8 +197,9 @@
 	is.Equal(len(all), 32)
 }
 
-// A queue asks for a label that a tenth of the agents have, and a job is wider than its
-// subset. Refused for want of a worker they would never run, whatever stands idle.
+// Guards against jobs that are always refused for lack of a worker although suitable workers are
+// idle: one needs a label that only a tenth of the agents have, another more cores than the subset
+// has.
 func TestSubsetIsExtendedForNeeds(t *testing.T) {
 	is := is.New(t)
 	links, all, now := newLinkedFleet(16, newFakeUser())
@@ -221,8 +224,7 @@
 	is.Equal(len(all), 16)
 }
 
-// A queue asks for a label that no backend server has. Its jobs are refused at once: there
-// is no link to wait for.
+// A job needs a label that no backend server has. It must not wait, since no link can help.
 func TestUnmetNeedLinksNoAgents(t *testing.T) {
 	is := is.New(t)
 	links, all, now := newLinkedFleet(16, newFakeUser())
@@ -232,8 +234,8 @@
 	is.Equal(len(all), 16)
 }
 
-// A takeover has to reach an agent that is in no subset of the new owner: it may have runs
-// of the shard.
+// Guards against a takeover that does not reach an agent outside the new owner's subset: the agent
+// may have runs of the shard.
 func TestRequiredAgentsAreLinked(t *testing.T) {
 	is := is.New(t)
 	user := newFakeUser()
@@ -245,8 +247,8 @@
 	links.Reconcile(now)
 	is.Equal(len(all), 160)
 
-	// Those that are required only get no work: counting the jobs of a queue asks every
-	// owner, and made each entry's subset twice as large for half a minute.
+	// Agents that are only required get no work: to count the jobs of a queue an entry asks
+	// every owner, which otherwise doubled the size of its subset for half a minute.
 	idle := 0
 	for _, retired := range user.retired {
 		if retired {
--- a/daemon/core/metrics.go
+++ b/daemon/core/metrics.go
@@ -12,22 +12,23 @@
 	"github.com/shallotstep/shallotstep/transport/metrics"
 )
 
+// Namespace is the prefix of all metric names.
 const Namespace = "shallotstep"
 
-// latencyBuckets, in seconds, go from an answer on the same host to the longest
-// time limit of a request.
+// latencyBuckets holds the upper bounds of the histograms, in seconds. They range from a response
+// on the same host to the longest time limit of a request.
 var latencyBuckets = []float64{.001, .002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 5}
 
-// CoreMetrics are the counters and histograms of a process.
+// Metrics holds the counters, gauges and histograms of a process.
 type Metrics struct {
 	Registry *prometheus.Registry
-	// refusals and retries are counted by reason, decisions by their kind.
+	// refusals, Retries and StartRefusals are labelled by reason, decisions by kind.
 	refusals      *prometheus.CounterVec
 	Retries       *prometheus.CounterVec
 	decisions     *prometheus.CounterVec
 	StartRefusals *prometheus.CounterVec
 	StoreRepeats  prometheus.Counter
-	// links counts links that were dialled and retired, linked is how many are wanted.
+	// linkChanges counts dialled and retired links, linksWanted is the number of wanted ones.
 	linkChanges *prometheus.CounterVec
 	linksWanted prometheus.Gauge
 	Append      prometheus.Histogram
@@ -37,7 +38,8 @@
 	Lookup      prometheus.Histogram
 }
 
-// NewCoreMetrics returns metrics in a registry of their own.
+// NewMetrics returns metrics in a new registry, with the collectors of the Go runtime and of the
+// process.
 func NewMetrics() *Metrics {
 	m := &Metrics{
 		Registry:      prometheus.NewRegistry(),
@@ -72,25 +74,25 @@
 	return prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: Namespace, Name: name, Help: help, Buckets: latencyBuckets})
 }
 
-// Verdict counts what was not accepted.
+// CountResponse counts a response that refuses a job or leaves its outcome unknown, by reason.
 func (m *Metrics) CountResponse(v owner.Response) {
 	if v.Outcome == owner.Refused || v.Outcome == owner.Unknown {
 		m.refusals.WithLabelValues(v.Reason).Inc()
 	}
 }
 
-// Handler serves the metrics as text.
+// Handler serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.Registry, promhttp.HandlerOpts{})
 }
 
-// WatchFleet registers what placing costs.
+// WatchFleet registers the number of agents that were examined to place tasks.
 func (m *Metrics) WatchFleet(f *owner.Fleet) {
 	opts := prometheus.CounterOpts{Namespace: Namespace, Name: "placement_looks_total", Help: "Agents looked at to place tasks."}
 	m.Registry.MustRegister(prometheus.NewCounterFunc(opts, func() float64 { return float64(f.AgentsExamined()) }))
 }
 
-// WatchDrains registers what is known of drained failure domains.
+// WatchDrains registers the number of drained failure domains and the age of the drain state.
 func (m *Metrics) WatchDrains(w *DrainWatch) {
 	m.Registry.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
--- a/daemon/core/needs.go
+++ b/daemon/core/needs.go
@@ -8,34 +8,34 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// needKey is what a step asks of the agents that may run it. Queues ask for few
-// different things.
+// needKey identifies the agents that may run a step. The queues have few different keys.
 type needKey struct{ service, label string }
 
-// Need is how many agents a step has use for, what a task of it takes, and when one was
-// submitted last.
+// need is how many agents the steps with a key can use, the largest demand of their tasks, and
+// when such a step was last submitted.
 type need struct {
 	minAgents int
 	demand    job.Demand
 	lastUsed  time.Duration
 }
 
-// needs are what the jobs of the last time have asked for. A subset is chosen without
-// regard to what an agent offers, so few of its agents may have what a queue asks for,
-// or none.
+// needs holds the needs of recent jobs. The subset is chosen without regard to what an agent
+// offers, so that few or none of its agents may offer what a queue needs.
 type needs map[needKey]need
 
 const (
-	// needMemory is how long agents that were linked for a need are kept.
+	// needTTL is how long a need is remembered, and its agents stay linked, after it was last
+	// submitted.
 	needTTL = time.Minute
-	// mostNeeds bounds the needs that are remembered; the oldest leave.
+	// maxNeeds is the maximum number of needs; the least recently used are dropped first.
 	maxNeeds = 64
-	// leastOffering is how many agents a need is given, if there are as many and a subset
-	// has as many: with few a lost one would take much of the room.
+	// minAgentsPerNeed is how many agents are linked for a need, up to the size of the subset
+	// and the number of agents that meet it. With fewer, the loss of one agent would take a
+	// large part of the capacity.
 	minAgentsPerNeed = 8
 )
 
-// note takes in a step, and reports whether the need is new or greater than before.
+// record records the need of a step and reports whether it is new or larger than before.
 func (n needs) record(now time.Duration, key needKey, minAgents int, demand job.Demand) bool {
 	previous, known := n[key]
 	if now-previous.lastUsed > needTTL {
@@ -48,6 +48,7 @@
 	return !known || minAgents > previous.minAgents || !demand.Fits(previous.demand)
 }
 
+// maxDemand returns the larger value of each resource.
 func maxDemand(a, b job.Demand) job.Demand {
 	return job.Demand{CPUMillis: max(a.CPUMillis, b.CPUMillis), MemoryMB: max(a.MemoryMB, b.MemoryMB), GPUs: max(a.GPUs, b.GPUs)}
 }
@@ -57,8 +58,8 @@
 	delete(n, slices.MinFunc(keys, func(a, b needKey) int { return int(n[a].lastUsed - n[b].lastUsed) }))
 }
 
-// fill adds to the wanted agents what the needs lack of those that are known to serve, in the
-// order of preference.
+// addAgents adds known agents to wanted, in the order of preference, until each need has its
+// number of agents. It removes expired needs.
 func (n needs) addAgents(now time.Duration, order []string, known map[string]Registration, wanted map[string]bool) {
 	for key, need := range n {
 		if now-need.lastUsed > needTTL {
@@ -83,8 +84,8 @@
 	}
 }
 
-// Offers reports whether an agent may run what a need is for. One that has not said what
-// it offers is taken to.
+// meetsNeed reports whether an agent may run tasks with a key and demand. An agent without a
+// registered offer is assumed to.
 func meetsNeed(reg Registration, key needKey, demand job.Demand) bool {
 	o := reg.Offer
 	if o == nil {
@@ -93,8 +94,9 @@
 	return o.Service == key.service && demand.Fits(o.Capacity) && (key.label == "" || slices.Contains(o.Labels, key.label))
 }
 
-// leastFor is how many agents a step has use for, a few at least: enough for its widest
-// moment, and for its bound on tasks at one worker.
+// minAgentsFor returns how many agents a step can use, at least minimum: enough to run all of its
+// tasks at once, and to respect its limit of tasks per worker. cpuPerAgent is in thousandths of a
+// core; zero means unknown.
 func minAgentsFor(st *job.Step, cpuPerAgent int64, minimum int) int {
 	agents := minimum
 	if st.MaxPerWorker > 0 {
@@ -106,7 +108,8 @@
 	return agents
 }
 
-// Offers are the capacities that agents with backend servers of a service have registered.
+// RegisteredCapacities returns, by agent, the registered capacities of the backend servers of a
+// service.
 func (l *LinkSet) RegisteredCapacities(service string) map[string]job.Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,8 +122,8 @@
 	return out
 }
 
-// Need takes in what a job's steps ask for, and reports whether links have to be made
-// for it.
+// RecordNeed records the needs of a job's steps and reports whether new links are required for
+// them. The next Reconcile dials those links.
 func (l *LinkSet) RecordNeed(now time.Duration, spec *job.Spec, p *job.Policy) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,7 +139,7 @@
 	return linksNeeded
 }
 
-// openLocked are the known agents whose failure domains are not drained.
+// undrainedLocked returns the known agents whose failure domains are not drained.
 func (l *LinkSet) undrainedLocked() map[string]Registration {
 	if len(l.drained.Domains) == 0 {
 		return l.known
@@ -150,8 +153,8 @@
 	return out
 }
 
-// capacityLocked is what an agent with a need's offer has, in thousandths of a core; zero
-// if no such agent is known.
+// agentCPULocked returns the CPU capacity, in thousandths of a core, of the most preferred agent
+// that meets a need, or zero if no such agent is known.
 func (l *LinkSet) agentCPULocked(key needKey, demand job.Demand) int64 {
 	for _, node := range l.order {
 		if reg := l.known[node]; reg.Offer != nil && meetsNeed(reg, key, demand) {
@@ -161,8 +164,8 @@
 	return 0
 }
 
-// lacksLocked reports whether too few agents are linked that may run what a need is for,
-// and others are known. Where none is, a job has nothing to wait for.
+// lacksAgentsLocked reports whether fewer than minAgents linked agents meet a need while other
+// known agents do. Without such other agents no new link can help, and a job need not wait.
 func (l *LinkSet) lacksAgentsLocked(key needKey, minAgents int, demand job.Demand) bool {
 	linked, others := 0, 0
 	for node, reg := range l.undrainedLocked() {
--- a/daemon/core/partition_series.go
+++ b/daemon/core/partitions.go
@@ -8,23 +8,24 @@
 	"github.com/shallotstep/shallotstep/state/store"
 )
 
-// Series is partitions of several topics that are numbered through: those of the first
-// topic, then those of the second, and so on.
+// PartitionSeries numbers the partitions of several topics consecutively from zero: those of the
+// first topic, then those of the second, and so on.
 type PartitionSeries struct {
+	// Prefix precedes the number of the topic in its name.
 	Prefix string
-	// Topics of parts partitions each.
+	// Topics is the number of topics, PartitionsPerTopic the number of partitions of each.
 	Topics, PartitionsPerTopic int
 }
 
-// ShardSeries has the shards of the recorded jobs.
+// ShardSeries returns the partitions of the shards of recorded jobs.
 func ShardSeries(s *settings.Settings) PartitionSeries {
 	return PartitionSeries{Prefix: "keyed.jobs", Topics: s.Store.Topics, PartitionsPerTopic: s.Store.Partitions}
 }
 
-// Size is the number of partitions.
+// Size returns the number of partitions.
 func (s PartitionSeries) Size() int { return s.Topics * s.PartitionsPerTopic }
 
-// Names are those of the topics.
+// TopicNames returns the names of the topics, in order.
 func (s PartitionSeries) TopicNames() []string {
 	out := make([]string, s.Topics)
 	for i := range out {
@@ -35,12 +36,12 @@
 
 func (s PartitionSeries) topic(i int) string { return s.Prefix + strconv.Itoa(i) }
 
-// Partition returns that of a number.
+// Partition returns the partition with a number of the series.
 func (s PartitionSeries) Partition(number int) store.Partition {
 	return store.Partition{Topic: s.topic(number / s.PartitionsPerTopic), Number: number % s.PartitionsPerTopic}
 }
 
-// Number returns that of a partition, or false if it is none of the series.
+// Number returns the number of a partition, or false if it is not part of the series.
 func (s PartitionSeries) Number(p store.Partition) (int, bool) {
 	i := slices.Index(s.TopicNames(), p.Topic)
 	if i < 0 || p.Number < 0 || p.Number >= s.PartitionsPerTopic {
--- a/daemon/core/reconcile.go
+++ b/daemon/core/reconcile.go
@@ -9,8 +9,9 @@
 	"github.com/shallotstep/shallotstep/coordination/subset"
 )
 
-// Reconcile dials what is wanted and not linked, and ends links that are not wanted any
-// more once nothing of the user is behind them.
+// Reconcile dials the wanted agents that are not linked at their registered address. It closes
+// links that are no longer wanted, once their agents have no runs of the user, and links to agents
+// that were removed from the registry. It does nothing while the set is closed.
 func (l *LinkSet) Reconcile(now time.Duration) {
 	l.changeMu.Lock()
 	defer l.changeMu.Unlock()
@@ -35,7 +36,7 @@
 	l.dropRetired(now)
 }
 
-// tell leaves a trace of a change.
+// reportChange updates the metrics and logs a line if links were dialled or retired.
 func (l *LinkSet) reportChange(dialled, retired, wanted int) {
 	if dialled+retired == 0 {
 		return
@@ -54,7 +55,7 @@
 	klog.InfoS("The agents to link have changed", "wanted", wanted, "of", known, "dialled", dialled, "retired", retired, "down", down, "extra", extra)
 }
 
-// watchLocked notes which links are down.
+// updateDownSinceLocked records since when each link has been down.
 func (l *LinkSet) updateDownSinceLocked(now time.Duration) {
 	for _, k := range l.links {
 		switch {
@@ -66,6 +67,8 @@
 	}
 }
 
+// updateOrderLocked computes the order of preference again if the agents or the share have
+// changed.
 func (l *LinkSet) updateOrderLocked(share subset.Share) {
 	if l.order != nil && share.Total == l.share.Total && slices.Equal(share.Buckets, l.share.Buckets) {
 		return
@@ -77,23 +80,23 @@
 	l.share, l.order = share, subset.Order(agents, share)
 }
 
-// darkLocked reports whether an agent's link has been down for long.
+// downTooLongLocked reports whether the link to an agent has been down for downTimeout.
 func (l *LinkSet) downTooLongLocked(now time.Duration, node string) bool {
 	k := l.links[node]
 	return k != nil && k.downSince > 0 && now-k.downSince >= downTimeout
 }
 
-// servesLocked reports whether an agent can be given work: it is not dark, and its failure
-// domain not drained.
+// canTakeWorkLocked reports whether new work can be placed on an agent: its link has not been down
+// for too long, and its failure domain is not drained.
 func (l *LinkSet) canTakeWorkLocked(now time.Duration, node string) bool {
 	return !l.drained.Has(l.known[node].Domain) && !l.downTooLongLocked(now, node)
 }
 
-// wantedLocked names the agents to link, and whether new work goes to them: the first ones
-// of the order, with others in place of those that can't serve, what the subset is stretched
-// by and what the jobs' needs lack get work. What the user requires is linked for something
-// else: with work for all of them a question to each owner would make a subset twice as
-// large, and the decisions worse.
+// wantedLocked returns the agents to link, and for each whether new work may be placed on it. Work
+// goes to the first agents of the order, with replacements for those that can't take work, to the
+// agents that the expander adds, and to those that the needs of jobs add. Agents that only the user
+// requires get no work: otherwise a request to each owner would double the size of the subset and
+// make the decisions worse.
 func (l *LinkSet) wantedLocked(now time.Duration, required []string) map[string]bool {
 	size := l.sizeLocked()
 	wanted := make(map[string]bool, 2*size)
@@ -110,8 +113,8 @@
 	return wanted
 }
 
-// takeLocked adds agents in order until so many are there that can serve, or twice as
-// many in all. It returns those that are left.
+// addWantedLocked adds agents to wanted, in order, until it has added count agents that can take
+// work, or 2*count agents in all. It returns the remaining agents.
 func (l *LinkSet) addWantedLocked(now time.Duration, wanted map[string]bool, order []string, count int) []string {
 	serving := 0
 	for i, node := range order {
@@ -126,7 +129,8 @@
 	return nil
 }
 
-// retireLocked returns what has to be dialled, and how many links have ceased to be wanted.
+// updateRetiredLocked sets which links are retired. It returns the agents to dial and the number of
+// links that were newly retired.
 func (l *LinkSet) updateRetiredLocked(now time.Duration, wanted map[string]bool) (dial map[string]Registration, retired int) {
 	dial = make(map[string]Registration)
 	for node := range wanted {
@@ -146,7 +150,8 @@
 	return dial, retired
 }
 
-// worksLocked returns the agents for which it has changed whether new work goes there.
+// updateAssignableLocked sets which links may get new work. It returns the new value for each agent
+// where it has changed or that has no link yet.
 func (l *LinkSet) updateAssignableLocked(wanted map[string]bool) map[string]bool {
 	changed := make(map[string]bool)
 	for node, k := range l.links {
@@ -163,8 +168,8 @@
 	return changed
 }
 
-// dropRetired ends links that are not wanted once nothing is behind them, and those to
-// agents that were taken from the registry.
+// dropRetired closes links that were retired for at least retireDelay and whose agents have no runs
+// of the user, and links to agents that were removed from the registry.
 func (l *LinkSet) dropRetired(now time.Duration) {
 	var idle, gone []string
 	l.mu.Lock()
@@ -179,7 +184,7 @@
 	idle = slices.DeleteFunc(idle, l.user.MayHaveRunsAt)
 	for _, node := range slices.Concat(gone, idle) {
 		l.Drop(node)
-		// A link that is made anew says for itself whether it gets work.
+		// If the agent is linked again, the next Reconcile sets whether it gets work.
 		l.placer.SetRetired(node, false)
 	}
 }
--- a/daemon/core/registry.go
+++ b/daemon/core/registry.go
@@ -17,31 +17,33 @@
 	"github.com/shallotstep/shallotstep/transport/pause"
 )
 
-// The registry is a keyed topic in which each agent announces its address. It
-// serves discovery only: nothing that must hold rests on it.
+// RegistryPartition is the partition of the registry, a keyed topic in which each agent announces
+// its address. It serves discovery only: no correctness property depends on it.
 var RegistryPartition = store.Partition{Topic: "keyed.agents"}
 
-// Registration is an agent's announcement, under its name as key. It is written when
-// what it says has changed: a life that comes back at the same address beside the same
-// kind of backend server writes none.
+// Registration is the registry record of an agent; its key is the agent's name. It is written only
+// when its content has changed: an agent that restarts at the same address, beside a backend
+// server with the same offer, writes none.
 type Registration struct {
+	// LinkAddr is the address, with port, at which the agent accepts links.
 	LinkAddr string `json:"links"`
-	Domain   string `json:"zone"`
-	// Offer is what the backend server beside the agent can run.
+	// Domain is the failure domain of the agent's host.
+	Domain string `json:"zone"`
+	// Offer is what the backend server beside the agent can run; nil if unknown.
 	Offer *Offer `json:"offer,omitempty"`
-	// Orphans is set while ends stand at the agent that only the owners of their shards
-	// can settle, and none does: owners without jobs link nobody.
+	// Orphans is set while the agent has run ends that only the owners of their shards can
+	// settle and that none settles, since owners without jobs link no agents.
 	Orphans bool `json:"orphans,omitempty"`
 }
 
-// Offer is what tasks an agent can take.
+// Offer describes the tasks that an agent can run.
 type Offer struct {
 	Service  string     `json:"service"`
 	Labels   []string   `json:"labels"`
 	Capacity job.Demand `json:"capacity"`
 }
 
-// Same reports whether two registrations say the same.
+// Equal reports whether two registrations have the same content.
 func (r *Registration) Equal(o *Registration) bool {
 	if r.LinkAddr != o.LinkAddr || r.Domain != o.Domain || r.Orphans != o.Orphans || (r.Offer == nil) != (o.Offer == nil) {
 		return false
@@ -50,25 +52,25 @@
 }
 
 const (
-	// StoreTimeout bounds a call to the store that may wait for a slow one:
-	// its answers took up to a quarter of a second in an outage.
+	// StoreTimeout bounds a single call to the store. In an outage the store may take up to a
+	// quarter of a second to answer, and a call may wait for a slow one before it.
 	StoreTimeout = 1500 * time.Millisecond
-	// retryPause is the pause before a failed call to the store is repeated, and
-	// maxRetryPause the longest: all processes are back within that after the store is.
+	// minRetryDelay is the initial backoff before a failed call to the store is repeated, and
+	// maxRetryDelay the maximum: all processes recover within that time after the store does.
 	minRetryDelay = 80 * time.Millisecond
 	maxRetryDelay = 400 * time.Millisecond
-	// registryWait is how long a read of the registry waits for news. A silent
-	// connection is found a little later.
+	// registryWait is how long a read of the registry waits for new records. A silent
+	// connection is detected followSlack later.
 	registryWait = 2 * time.Second
-	// registryPause is the pause after news of the registry. When a system starts for the
-	// first time each of 70 agents registers within 0.3 s, and without it each of 83
-	// readers read each of the records by itself. Agents that come back at their old
-	// addresses are known, so nobody waits for them here.
+	// registryBatchDelay is the pause after new records of the registry, so that the next read
+	// returns several. When a system starts for the first time, 70 agents register within
+	// 0.3 s, and without the pause each of 83 readers reads each record separately. It delays
+	// no restarted agent: one that returns at its old address is already known.
 	registryBatchDelay = 30 * time.Millisecond
 )
 
-// UntilDone repeats a call to the store, with pauses that grow, until it succeeds or the
-// context ends. What it says of a failure is for the log.
+// Retry repeats a call to the store, with exponential backoff, until it succeeds or the context
+// ends. failureMessage is the log message for each failure.
 func Retry(ctx context.Context, failureMessage string, call func() error) {
 	backoff := pause.Backoff{Least: minRetryDelay, Most: maxRetryDelay}
 	for ctx.Err() == nil {
@@ -86,28 +88,31 @@
 type follower struct {
 	store     store.Store
 	partition store.Partition
-	wait      time.Duration
-	// rest is the pause after records came, to read the next ones together.
+	// wait is how long a read waits for new records.
+	wait time.Duration
+	// batchDelay is the pause after each read that returned records, so that the next read
+	// returns several.
 	batchDelay time.Duration
-	// apply gets each newest record, also repeatedly, and applied is called after those
-	// that came together, if it is set.
+	// apply is called with the newest record of each key and then with each new record, possibly
+	// more than once. afterBatch, if set, is called after all records of a read.
 	apply      func(store.Record)
 	afterBatch func()
-	// begin is called before the newest record of each key is applied, and reached once
-	// all records before a position were, also when none came; both if they are set.
+	// onReset, if set, is called before the newest record of each key is applied. onPosition,
+	// if set, is called once all records before a position are applied, also after a read
+	// without records.
 	onReset    func()
 	onPosition func(position int64)
-	// name is for the log.
+	// name identifies the follower in log lines.
 	name string
 }
 
-// Follow hands each newest record of a partition to apply, also repeatedly, until
-// the context ends. The name is for the log.
+// Follow calls apply with the newest record of each key of a partition, possibly more than once,
+// and then with each new record, until the context ends. name identifies the reader in log lines.
 func Follow(ctx context.Context, st store.Store, p store.Partition, name string, apply func(store.Record)) {
 	(&follower{store: st, partition: p, wait: ConfigWait, apply: apply, name: name}).run(ctx)
 }
 
-// run follows until the context ends.
+// run follows the partition until the context ends.
 func (f *follower) run(ctx context.Context) {
 	lost := false
 	backoff := pause.Backoff{Least: minRetryDelay, Most: maxRetryDelay}
@@ -125,6 +130,8 @@
 	}
 }
 
+// readAndFollow reads the newest record of each key and then follows the partition. It returns the
+// error that ends the reading, which is store.ErrTrimmed if all has to be read again.
 func (f *follower) readAndFollow(ctx context.Context, lost *bool, backoff *pause.Backoff) error {
 	records, next, err := f.newest(ctx)
 	if err != nil {
@@ -164,7 +171,7 @@
 	return f.store.Newest(ctx, f.partition)
 }
 
-// followSlack is the time beyond its wait after which a read counts as lost.
+// followSlack is how much longer than its wait a read may take before it is given up.
 const followSlack = 600 * time.Millisecond
 
 func (f *follower) follow(ctx context.Context, from int64) ([]store.Record, int64, error) {
@@ -173,11 +180,11 @@
 	return f.store.Follow(ctx, f.partition, from, f.wait)
 }
 
-// Announce writes a registration.
+// Announce writes the registration of an agent to the registry.
 func Announce(ctx context.Context, st store.Store, name string, reg *Registration) error {
 	b, err := json.Marshal(reg)
 	if err != nil {
-		return errors.Wrap(err, "registration")
+		return errors.Wrap(err, "encode registration")
 	}
 	ctx, cancel := context.WithTimeout(ctx, StoreTimeout)
 	defer cancel()
@@ -194,12 +201,13 @@
 		return reg, errors.Wrapf(err, "registration of %s", r.Key)
 	}
 	if o := reg.Offer; o != nil && (o.Service == "" || o.Capacity.CPUMillis < 0) {
-		return reg, errors.Errorf("registration of %s: an offer without a service or capacity", r.Key)
+		return reg, errors.Errorf("registration of %s: offer without a service, or with a negative CPU capacity", r.Key)
 	}
 	return reg, nil
 }
 
-// MemberName names one life of an agent in the group.
+// MemberName returns the name of one incarnation of a process, in the group of owners and on its
+// links.
 func MemberName(name string, incarnation string) string {
 	return strings.Join([]string{name, incarnation}, "/")
 }
--- a/daemon/core/settings.go
+++ b/daemon/core/settings.go
@@ -12,13 +12,13 @@
 	"github.com/shallotstep/shallotstep/state/settings"
 )
 
-// settingsPoll is the pace at which a change of the file without a signal is
-// looked for.
+// settingsPollInterval is the interval between two checks for a change of the file that no signal
+// has announced.
 const settingsPollInterval = 2 * time.Second
 
-// WatchSettings checks the file anew on SIGHUP and when it changes. The settings
-// describe the host a process stands on, and no key can change while it lives;
-// a change is logged, takes effect with the next start, and cuts off nothing.
+// WatchSettings validates the settings file again on SIGHUP and when it changes, and logs the
+// result, until the context ends. The settings describe the host of the process, and none can
+// change while the process runs: a change takes effect with the next start and interrupts nothing.
 func WatchSettings(ctx context.Context, path string) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -38,14 +38,15 @@
 		}
 		last = modTime(path)
 		_, err := settings.Load(path)
-		klog.InfoS("The settings were read again", "file", path, "fault", err)
+		klog.InfoS("Validated the settings file again", "file", path, "fault", err)
 	}
 }
 
+// modTime returns the modification time of a file, or the zero time if it can't be read.
 func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
-		klog.V(1).InfoS("The settings file can't be looked at", "err", err)
+		klog.V(1).InfoS("The settings file can't be read", "err", err)
 		return time.Time{}
 	}
 	return info.ModTime()
--- a/daemon/core/shard_driver.go
+++ b/daemon/core/shard_driver.go
@@ -13,25 +13,26 @@
 	"github.com/shallotstep/shallotstep/transport/bootclock"
 )
 
-// Steps drives the machine of one shard: it runs its steps one at a time and
-// carries out what they ask for.
+// ShardDriver drives the state machine of one shard: it runs its steps one at a time and carries
+// out their effects.
 type ShardDriver struct {
 	*owner.Shard
 	links   *LinkSet
 	metrics *Metrics
-	Wake    chan struct{}
+	// Wake receives a value when there are records to write.
+	Wake chan struct{}
 
-	// order keeps the effects of the steps in their order: a stop that overtook
-	// its order would be lost.
+	// stepMu is held during a step and its effects, so that the effects are carried out in the
+	// order of the steps: a stop that was sent before its order would have no effect.
 	stepMu sync.Mutex
 }
 
-// NewSteps returns the driver of a machine that sends by these links.
+// NewShardDriver returns the driver of a shard that sends its messages on the given links.
 func NewShardDriver(s *owner.Shard, links *LinkSet, m *Metrics) *ShardDriver {
 	return &ShardDriver{Shard: s, links: links, metrics: m, Wake: make(chan struct{}, 1)}
 }
 
-// Step runs a step of the machine and carries out its effects.
+// Step runs a step of the state machine and carries out its effects.
 func (r *ShardDriver) Step(f func(now time.Duration) owner.Effects) {
 	r.stepMu.Lock()
 	defer r.stepMu.Unlock()
@@ -40,6 +41,7 @@
 	r.apply(now, &fx)
 }
 
+// apply carries out the effects of a step.
 func (r *ShardDriver) apply(now time.Duration, fx *owner.Effects) {
 	for i := range fx.Orders {
 		o := wire.OrderToWire(now, &fx.Orders[i].Value)
@@ -71,9 +73,9 @@
 	}
 }
 
-// settle tells an agent what became of an end. It may wait for the next frame:
-// the agent acknowledges the end a little later, which frees nothing. A void end
-// must stop the acknowledgements at once.
+// sendSettled tells an agent that the end of a run is settled. The message may wait for the next
+// frame that is sent anyway: the agent then acknowledges the end a little later, which delays no
+// release of resources. A void end must stop the acknowledgements and is sent at once.
 func (r *ShardDriver) sendSettled(node string, settled *corepb.Settled) {
 	add := func(f *corepb.ToAgent) { f.Settled = append(f.Settled, settled) }
 	if settled.GetVoid() {
@@ -83,6 +85,7 @@
 	r.links.sendQuietly(node, add)
 }
 
+// logDecision counts and logs a decision. Durations are in milliseconds.
 func (r *ShardDriver) logDecision(d *owner.Decision) {
 	r.metrics.decisions.WithLabelValues(d.Kind).Inc()
 	if d.Refusal != nil {
@@ -92,7 +95,7 @@
 		"run", d.Run.Number, "agent", d.Node, "reason", d.Reason, "age", d.Age.Milliseconds(), "wait", d.Wait.Milliseconds(), "count", d.Count)
 }
 
-// logRefusal says what a refusal was decided by, in milliseconds and cores.
+// logRefusal logs the figures that a refusal was based on, in milliseconds and cores.
 func logRefusal(d *owner.Decision) {
 	r := d.Refusal
 	klog.InfoS("Refusal", "id", d.Job, "reason", d.Reason, "predicted", r.PredictedWait.Milliseconds(), "here", r.LocalWait.Milliseconds(),
@@ -100,14 +103,14 @@
 		"free", int(r.FreeCores), "cores", int(r.TotalCores), "news", r.LoadAge.Milliseconds())
 }
 
-// PlaceWaiting has tasks that wait here sent to agents that may have room by now.
+// PlaceWaiting tries to place the waiting tasks, after an agent may have reported free capacity.
 func (r *ShardDriver) PlaceWaiting() {
 	if r.HasWaitingTasks() {
 		r.Step(r.AgentsUpdated)
 	}
 }
 
-// Signal wakes whoever writes for the shard.
+// Signal wakes the writer of the shard's records. It never blocks.
 func (r *ShardDriver) Signal() {
 	select {
 	case r.Wake <- struct{}{}:
@@ -115,8 +118,8 @@
 	}
 }
 
-// LinkUp has the shard note a link and returns the claims to send on it: one, or none if
-// the link is claimed.
+// LinkUp adds a link to the shard and returns the claims to send on it: one, or none if the link
+// was claimed already.
 func (r *ShardDriver) LinkUp(node string, session int64) []*corepb.Claim {
 	var claim worker.Claim
 	var ok bool
@@ -131,7 +134,7 @@
 	return []*corepb.Claim{{Shard: int32(claim.Shard), Epoch: claim.Epoch, Session: claim.Session}}
 }
 
-// LinkDown has the shard note that a link is lost.
+// LinkDown tells the shard that a link is lost.
 func (r *ShardDriver) LinkDown(node string, session int64) {
 	r.Step(func(now time.Duration) owner.Effects {
 		r.LinkLost(now, node, session)
@@ -139,12 +142,12 @@
 	})
 }
 
-// TakeClaimed takes in an agent's answer to a claim.
+// HandleClaimed handles an agent's answer to a claim.
 func (r *ShardDriver) HandleClaimed(node string, p *corepb.Claimed) {
 	r.Step(func(now time.Duration) owner.Effects { return r.Claimed(now, node, wire.ClaimedFromWire(p)) })
 }
 
-// TakeEvent takes in news of a run.
+// HandleEvent handles a run event from an agent.
 func (r *ShardDriver) HandleEvent(node string, p *corepb.Event) {
 	e := worker.Event{Shard: int(p.GetShard()), Epoch: p.GetEpoch(), State: wire.RunStateFromWire(p.GetRun())}
 	r.Step(func(now time.Duration) owner.Effects { return r.Event(now, node, e) })
--- a/daemon/coretest/coretest.go
+++ b/daemon/coretest/coretest.go
@@ -1,4 +1,4 @@
-// Package coretest has what the tests of entries and agents share.
+// Package coretest holds the helpers that the tests of entries and agents share.
 package coretest
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/shallotstep/shallotstep/state/store"
 )
 
-// NoStore rejects everything.
+// RejectingStore is a store.Store whose calls all fail with store.ErrRejected.
 type RejectingStore struct{}
 
 // Append implements store.Store.
@@ -41,10 +41,10 @@
 // Leave implements store.Store.
 func (RejectingStore) Leave(context.Context, string, string) error { return store.ErrRejected }
 
-// Shards is the number of shards that Settings make.
+// Shards is the number of shards of Settings.
 const Shards = 4
 
-// Settings are those of an entry.
+// Settings returns the settings of an entry.
 func Settings() *settings.Settings {
 	return &settings.Settings{
 		Role: settings.RoleEntry, Name: "entry", Store: settings.Store{Topics: 1, Partitions: Shards, WritesPerSecond: 100},
@@ -52,15 +52,16 @@
 	}
 }
 
-// Await waits for something that other goroutines bring about.
+// Await waits until a condition holds that other goroutines establish. It fails the test after
+// awaitTimeout.
 func Await(t *testing.T, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(awaitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not in %v", awaitTimeout)
+			t.Fatalf("condition not met within %v", awaitTimeout)
 		}
 	}
 }
 
-// patience bounds a wait; nothing is asserted of how long it takes.
+// awaitTimeout bounds a wait. The tests make no assertion about how long a wait takes.
 const awaitTimeout = time.Minute
