--- a/daemon/core/links.go
+++ b/daemon/core/links.go
@@ -72,7 +72,7 @@
 	// size is the size of the subset; zero or less means all agents.
 	size int
 
-	// changeMu is held while links are dialled and closed. To close a link waits for its
+	// changeMu is held while links are dialled and closed. Closing a link waits for its
 	// handler, which uses the set, so mu must not be held meanwhile.
 	changeMu sync.Mutex
 
@@ -106,7 +106,7 @@
 	// downSince is when the link was first seen down. Zero means that it was up when it was
 	// last checked, or was not checked yet.
 	downSince time.Duration
-	// retiredAt is when the link was no longer wanted. Zero means that it is wanted.
+	// retiredAt is when the link stopped being wanted. Zero means that it is wanted.
 	retiredAt time.Duration
 	// assignable is set while new work may be placed on the agent.
 	assignable bool
--- a/daemon/core/links_test.go
+++ b/daemon/core/links_test.go
@@ -100,7 +100,7 @@
 }
 
 // Guards against links to all agents: with a link to each of 160 agents an entry spends its
-// processor time on heartbeats and its placement decisions get worse. It links a subset of 32.
+// processor time on heartbeats and its placement decisions get worse. It links 32 agents instead.
 func TestEntryLinksASubset(t *testing.T) {
 	is := is.New(t)
 	_, all, _ := newLinkedFleet(32, newFakeUser())
--- a/daemon/core/needs.go
+++ b/daemon/core/needs.go
@@ -8,7 +8,7 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// needKey identifies the agents that may run a step. The queues have few different keys.
+// needKey is what a step requires of the agents that may run it. Queues have few different keys.
 type needKey struct{ service, label string }
 
 // need is how many agents the steps with a key can use, the largest demand of their tasks, and
--- a/daemon/metrics_test.go
+++ b/daemon/metrics_test.go
@@ -10,7 +10,7 @@
 
 // Guards against profiles that are served by default: they reveal details of the code, and taking one
 // uses a core.
-func TestProfilesAreServedOnlyWhereTheyAreAskedFor(t *testing.T) {
+func TestProfilesAreServedOnlyWhenEnabled(t *testing.T) {
 	is := is.New(t)
 	metrics := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
 	status := func(profiles bool, path string) int {
