--- a/daemon/core/links_test.go
+++ b/daemon/core/links_test.go
@@ -100,7 +100,8 @@
 }
 
 // Guards against links to all agents: with a link to each of 160 agents an entry spends its
-// processor time on heartbeats and its placement decisions get worse. It links 32 agents instead.
+// processor time on heartbeats and its placement decisions get worse. It links 32 agents instead,
+// spread evenly over the failure domains.
 func TestEntryLinksASubset(t *testing.T) {
 	is := is.New(t)
 	_, all, _ := newLinkedFleet(32, newFakeUser())
