--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -34,7 +34,7 @@
 type Executor interface {
 	Start(ctx context.Context, c worker.StartCall) (worker.StartOutcome, string)
 	Stop(ctx context.Context, c worker.StopCall) bool
-	Hold(ctx context.Context, c worker.HoldCall, wait time.Duration) (worker.Holding, error)
+	Hold(ctx context.Context, c worker.HoldCall, wait time.Duration) (worker.HoldResult, error)
 }
 
 // Agent is the process beside one backend server.
@@ -108,7 +108,7 @@
 	a := &Agent{
 		settings: s, store: st, newExecutor: newExecutor, metrics: core.NewMetrics(),
 		member: core.MemberName(s.Name, xid.New().String()), started: bootclock.Now(),
-		worker:  worker.New(worker.Bounds{Lease: s.Bounds.Lease, OwnerSilence: core.OwnerSilenceTimeout, Relink: core.RelinkTimeout, Adoption: core.AdoptionTimeout, Shards: s.Shards()}),
+		worker:  worker.New(worker.Bounds{Lease: s.Bounds.Lease, OwnerTimeout: core.OwnerSilenceTimeout, ReconnectTimeout: core.RelinkTimeout, AdoptionTimeout: core.AdoptionTimeout, Shards: s.Shards()}),
 		placed:  newPlacersLog(),
 		fleet:   owner.NewFleet(s.Bounds.RemoteFactor, owner.DefaultParams()),
 		shards:  make(map[int]*shardRunner),
--- a/daemon/agent/enrol.go
+++ b/daemon/agent/enrol.go
@@ -43,7 +43,7 @@
 		a.marked.Store(true)
 	}
 	if e.effortOnly() {
-		a.worker.Former(e.Owners)
+		a.worker.SetFormerOwners(e.Owners)
 	}
 	return e
 }
@@ -110,7 +110,7 @@
 	if a.placed.due(now) {
 		go a.writeNotes(ctx)
 	}
-	if !a.worker.Orphaned(now) || a.orphaned.Swap(true) {
+	if !a.worker.HasOrphanedEnds(now) || a.orphaned.Swap(true) {
 		return
 	}
 	klog.InfoS("Ends wait for the owners of their shards; they are asked to claim")
@@ -152,7 +152,7 @@
 	if !changed {
 		return
 	}
-	klog.InfoS("The backend server has changed", "instance", s.Instance, "service", s.Service, "labels", s.Labels, "cores", s.Capacity.CPUMillis, "draining", s.Draining, "cold", s.Cold)
+	klog.InfoS("The backend server has changed", "instance", s.Instance, "service", s.Service, "labels", s.Labels, "cores", s.Capacity.CPUMillis, "draining", s.Draining, "cold", s.ColdRemaining)
 	a.placed.again()
 }
 
@@ -183,4 +183,4 @@
 }
 
 // Left takes in that the backend server is going.
-func (a *Agent) Left(instance string) { a.apply(a.worker.Left(instance)) }
+func (a *Agent) Left(instance string) { a.apply(a.worker.Deregistered(instance)) }
--- a/daemon/agent/executor_test.go
+++ b/daemon/agent/executor_test.go
@@ -28,9 +28,9 @@
 	r.stops.Add(1)
 	return false
 }
-func (r *resetting) Hold(context.Context, worker.HoldCall, time.Duration) (worker.Holding, error) {
+func (r *resetting) Hold(context.Context, worker.HoldCall, time.Duration) (worker.HoldResult, error) {
 	r.holds.Add(1)
-	return worker.Holding{}, errReset
+	return worker.HoldResult{}, errReset
 }
 
 // A backend server goes down and up, and while it is down it takes connections and resets
--- a/daemon/agent/notes.go
+++ b/daemon/agent/notes.go
@@ -124,7 +124,7 @@
 func (a *Agent) writeNotes(ctx context.Context) {
 	n := notes{Owners: a.placed.owners(), Member: a.member, Registered: a.registered.Load()}
 	if s, ok := a.worker.Server(); ok {
-		n.Server = known(s, a.worker.Varies())
+		n.Server = known(s, a.worker.CapacityChanged())
 	}
 	b, err := json.Marshal(&n)
 	if err != nil {
--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -101,7 +101,7 @@
 func (a *fakeAgent) keepBooks() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.books = worker.New(worker.Bounds{Lease: time.Second, OwnerSilence: core.OwnerSilenceTimeout, Relink: core.RelinkTimeout, Adoption: core.AdoptionTimeout, Shards: coretest.Shards})
+	a.books = worker.New(worker.Bounds{Lease: time.Second, OwnerTimeout: core.OwnerSilenceTimeout, ReconnectTimeout: core.RelinkTimeout, AdoptionTimeout: core.AdoptionTimeout, Shards: coretest.Shards})
 }
 
 // breakLink ends the link on which the next frame comes.
