--- /dev/null
+++ b/daemon/core/known_agents.go
@@ -0,0 +1,88 @@
+package core
+
+import (
+	"context"
+
+	"k8s.io/klog/v2"
+
+	"github.com/shallotstep/shallotstep/state/store"
+	"github.com/shallotstep/shallotstep/transport/bootclock"
+	"github.com/shallotstep/shallotstep/transport/metrics"
+)
+
+// FollowRegistry updates the known agents from the registry, and reconciles the links, until the
+// context ends.
+func (l *LinkSet) FollowRegistry(ctx context.Context, st store.Store) {
+	f := &follower{
+		store: st, partition: RegistryPartition, wait: registryWait, batchDelay: registryBatchDelay, name: "registry",
+		apply: l.applyRecord, afterBatch: func() {
+			l.mu.Lock()
+			l.registryRead = true
+			l.mu.Unlock()
+			l.Reconcile(bootclock.Now())
+		},
+	}
+	f.run(ctx)
+}
+
+// applyRecord updates the known agents with a record of the registry. A record without a value
+// removes the agent. Malformed records are counted and skipped.
+func (l *LinkSet) applyRecord(r store.Record) {
+	if r.Value == nil {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		delete(l.known, r.Key)
+		l.order = nil
+		return
+	}
+	reg, err := decodeRegistration(r)
+	if err != nil {
+		metrics.Malformed(metrics.KindRegistration)
+		klog.ErrorS(err, "Skipped a malformed record of the registry")
+		return
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if old, ok := l.known[r.Key]; !ok || old.Domain != reg.Domain {
+		l.order = nil
+	}
+	l.known[r.Key] = reg
+	l.orphansSeen = l.orphansSeen || reg.Orphans
+}
+
+// HasOrphans reports whether an agent has announced run ends that wait for the owners of their
+// shards.
+func (l *LinkSet) HasOrphans() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.orphansSeen
+}
+
+// AgentsWithOrphans returns the agents that currently announce run ends that wait for the owners
+// of their shards.
+func (l *LinkSet) AgentsWithOrphans() []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var out []string
+	if !l.orphansSeen {
+		return out
+	}
+	for node, reg := range l.known {
+		if reg.Orphans {
+			out = append(out, node)
+		}
+	}
+	return out
+}
+
+// AgentsPerDomain returns the number of known agents of each failure domain, and whether the
+// registry has been read.
+func (l *LinkSet) AgentsPerDomain() (map[string]int, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := make(map[string]int)
+	for _, reg := range l.known {
+		out[reg.Domain]++
+	}
+	return out, l.registryRead
+}
--- a/daemon/core/partitions.go
+++ b/daemon/core/partitions.go
@@ -8,24 +8,25 @@
 	"github.com/shallotstep/shallotstep/state/store"
 )
 
-// Series is partitions of several topics that are numbered through: those of the first
-// topic, then those of the second, and so on.
-type Series struct {
+// PartitionSeries numbers the partitions of several topics consecutively from zero: those of the
+// first topic, then those of the second, and so on.
+type PartitionSeries struct {
+	// Prefix precedes the number of the topic in its name.
 	Prefix string
-	// Topics of parts partitions each.
-	Topics, Parts int
+	// Topics is the number of topics, PartitionsPerTopic the number of partitions of each.
+	Topics, PartitionsPerTopic int
 }
 
-// ShardSeries has the shards of the recorded jobs.
-func ShardSeries(s *settings.Settings) Series {
-	return Series{Prefix: "keyed.jobs", Topics: s.Store.Topics, Parts: s.Store.Partitions}
+// ShardSeries returns the partitions of the shards of recorded jobs.
+func ShardSeries(s *settings.Settings) PartitionSeries {
+	return PartitionSeries{Prefix: "keyed.jobs", Topics: s.Store.Topics, PartitionsPerTopic: s.Store.Partitions}
 }
 
-// Size is the number of partitions.
-func (s Series) Size() int { return s.Topics * s.Parts }
+// Size returns the number of partitions.
+func (s PartitionSeries) Size() int { return s.Topics * s.PartitionsPerTopic }
 
-// Names are those of the topics.
-func (s Series) Names() []string {
+// TopicNames returns the names of the topics, in order.
+func (s PartitionSeries) TopicNames() []string {
 	out := make([]string, s.Topics)
 	for i := range out {
 		out[i] = s.topic(i)
@@ -33,18 +34,18 @@
 	return out
 }
 
-func (s Series) topic(i int) string { return s.Prefix + strconv.Itoa(i) }
+func (s PartitionSeries) topic(i int) string { return s.Prefix + strconv.Itoa(i) }
 
-// Partition returns that of a number.
-func (s Series) Partition(number int) store.Partition {
-	return store.Partition{Topic: s.topic(number / s.Parts), Number: number % s.Parts}
+// Partition returns the partition with a number of the series.
+func (s PartitionSeries) Partition(number int) store.Partition {
+	return store.Partition{Topic: s.topic(number / s.PartitionsPerTopic), Number: number % s.PartitionsPerTopic}
 }
 
-// Number returns that of a partition, or false if it is none of the series.
-func (s Series) Number(p store.Partition) (int, bool) {
-	i := slices.Index(s.Names(), p.Topic)
-	if i < 0 || p.Number < 0 || p.Number >= s.Parts {
+// Number returns the number of a partition, or false if it is not part of the series.
+func (s PartitionSeries) Number(p store.Partition) (int, bool) {
+	i := slices.Index(s.TopicNames(), p.Topic)
+	if i < 0 || p.Number < 0 || p.Number >= s.PartitionsPerTopic {
 		return 0, false
 	}
-	return i*s.Parts + p.Number, true
+	return i*s.PartitionsPerTopic + p.Number, true
 }
--- a/daemon/metrics_test.go
+++ b/daemon/metrics_test.go
@@ -8,8 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// Profiles tell of the code and cost a core: they are served where the settings say so.
-func TestProfilesAreServedOnlyWhereTheyAreAskedFor(t *testing.T) {
+// Guards against profiles that are served by default: they reveal details of the code, and taking one
+// uses a core.
+func TestProfilesAreServedOnlyWhenEnabled(t *testing.T) {
 	is := is.New(t)
 	metrics := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
 	status := func(profiles bool, path string) int {
