--- a/daemon/clients/apply.go
+++ b/daemon/clients/apply.go
@@ -26,13 +26,13 @@
 		return notApplied(base, state.ReasonMalformed, err.Error())
 	}
 	if file.Operator != operator {
-		return notApplied(base, state.ReasonMalformed, "the file names operator "+file.Operator)
+		return notApplied(base, state.ReasonMalformed, "the file is of operator "+file.Operator)
 	}
 	for _, s := range file.Services {
 		if len(s.Placement.Racks) > 0 {
 			// Tasks are not placed by rack. If the restriction were accepted and
 			// ignored, tasks would run where the operator has ruled it out.
-			return notApplied(base, state.ReasonMalformed, "service "+s.Name+": placement by rack is not supported")
+			return notApplied(base, state.ReasonMalformed, "service "+s.Name+": placement by rack is not served")
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
@@ -130,7 +130,7 @@
 			region, owned := f.Owned[s.Name]
 			switch {
 			case owned && name != a.operator:
-				out := notApplied(current, state.ReasonServiceOwned, "service "+s.Name+" belongs to operator "+name)
+				out := notApplied(current, state.ReasonServiceOwned, "service "+s.Name+" is of operator "+name)
 				return nil, &out
 			case owned && region != s.Region:
 				out := notApplied(current, state.ReasonRegionFixed, "service "+s.Name+" is in region "+region)
@@ -148,7 +148,7 @@
 func (a *applyOperation) write(ctx context.Context, next *declarationRecord) error {
 	value, err := json.Marshal(next)
 	if err != nil {
-		return errors.Wrap(err, "encode declaration record")
+		return errors.Wrap(err, "declaration")
 	}
 	r := store.Record{Key: a.operator, Value: value}
 	if err := a.append(ctx, r); err != nil {
--- a/daemon/clients/clients.go
+++ b/daemon/clients/clients.go
@@ -186,12 +186,12 @@
 // is most likely misspelt.
 func (c *Clients) SetDrain(ctx context.Context, domain string, drained bool) state.ApplyResult {
 	if c.drains == nil {
-		return notApplied(0, state.ReasonDrainsElsewhere, "the drains of this system are set at the platform")
+		return notApplied(0, state.ReasonDrainsElsewhere, "the drains of this system are set at its platform")
 	}
 	known := c.entry.Domains()
 	if known[domain] == 0 && !c.entry.Drains().Has(domain) {
 		names := strings.Join(slices.Sorted(maps.Keys(known)), ", ")
-		return notApplied(0, state.ReasonUnknownDomain, fmt.Sprintf("failure domain %q has no agents; known failure domains: %s", domain, names))
+		return notApplied(0, state.ReasonUnknownDomain, fmt.Sprintf("failure domain %q has no agents; known are %s", domain, names))
 	}
 	return c.drains.Set(ctx, domain, drained)
 }
--- a/daemon/clients/declarations.go
+++ b/daemon/clients/declarations.go
@@ -112,7 +112,7 @@
 		return nil, errors.Wrapf(err, "declaration of %s", r.Key)
 	}
 	if len(f.History) == 0 {
-		return nil, errors.Errorf("declaration of %s: record has no history", r.Key)
+		return nil, errors.Errorf("declaration of %s: no history", r.Key)
 	}
 	return f, nil
 }
--- a/daemon/clients/drains.go
+++ b/daemon/clients/drains.go
@@ -73,7 +73,7 @@
 		return nil, errors.Wrapf(err, "drain of %.80q", r.Key)
 	}
 	if r.Key == "" || len(rec.History) == 0 {
-		return nil, errors.Errorf("drain of %.80q: record has no key or no history", r.Key)
+		return nil, errors.Errorf("drain of %.80q: no history", r.Key)
 	}
 	return rec, nil
 }
@@ -154,7 +154,7 @@
 	next.History = next.History[max(0, len(next.History)-maxHistory):]
 	value, err := json.Marshal(&next)
 	if err != nil {
-		return state.ApplyResult{}, errors.Wrap(err, "encode drain record")
+		return state.ApplyResult{}, errors.Wrap(err, "drain")
 	}
 	if err := w.append(ctx, store.Record{Key: domain, Value: value}); err != nil {
 		return state.ApplyResult{}, err
--- a/daemon/clients/fenced.go
+++ b/daemon/clients/fenced.go
@@ -120,10 +120,10 @@
 		case certainlyNotWritten(err) && !mayHaveWritten:
 			return err
 		case ctx.Err() != nil:
-			return errors.Wrap(err, "the outcome of the write is unknown")
+			return errors.Wrap(err, "the fate of the write is open")
 		case errors.Is(err, store.ErrFenced):
 			// An earlier attempt may have succeeded before the writer was fenced.
-			return errors.New("the outcome of the write is unknown: fenced by another writer")
+			return errors.New("the fate of the write is open: another writer followed")
 		}
 		mayHaveWritten = mayHaveWritten || !errors.Is(err, store.ErrRejected)
 		_ = pause.For(ctx, meanRetryDelay)
