--- a/daemon/entry/effort.go
+++ b/daemon/entry/best_effort.go
@@ -24,7 +24,7 @@
 func privateShard(shards int) int { return shards + 1 + rand.IntN(1<<30) }
 
 // newEffort returns the shard for best-effort jobs of an entry's life.
-func (e *Entry) newEffort() *core.Steps {
+func (e *Entry) newBestEffort() *core.Steps {
 	s := owner.NewPrivate(bootclock.Now(), privateShard(e.settings.Shards()), core.OwnerBounds(e.settings), e.fleet)
 	return core.NewSteps(s, e.links, e.metrics)
 }
@@ -38,53 +38,53 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			e.effort.Step(e.effort.Tick)
+			e.bestEffort.Step(e.bestEffort.Tick)
 		}
 	}
 }
 
 // submitEffort runs a best-effort job to its end, or until its client has left.
-func (e *Entry) submitEffort(ctx context.Context, id job.ID, spec *job.Spec, p *job.Policy) owner.Response {
-	e.cover(ctx, spec, p)
-	what := *spec
-	what.ClientTimeout = patienceLeft(ctx, time.Now())
-	got := make(chan owner.Response, 1)
-	e.effort.Step(func(now time.Duration) owner.Effects {
-		return e.effort.Submit(now, id, what, *p, func(v owner.Response) {
+func (e *Entry) submitBestEffort(ctx context.Context, id job.ID, spec *job.Spec, p *job.Policy) owner.Response {
+	e.linkCapableAgents(ctx, spec, p)
+	specWithTimeout := *spec
+	specWithTimeout.ClientTimeout = clientTimeout(ctx, time.Now())
+	verdicts := make(chan owner.Response, 1)
+	e.bestEffort.Step(func(now time.Duration) owner.Effects {
+		return e.bestEffort.Submit(now, id, specWithTimeout, *p, func(v owner.Response) {
 			select {
-			case got <- v:
+			case verdicts <- v:
 			default:
 			}
 		})
 	})
 	select {
-	case v := <-got:
+	case v := <-verdicts:
 		return v
 	case <-ctx.Done():
-		e.effort.Step(func(now time.Duration) owner.Effects { return e.effort.Abandon(now, id) })
+		e.bestEffort.Step(func(now time.Duration) owner.Effects { return e.bestEffort.Abandon(now, id) })
 		klog.V(1).InfoS("The client of a best-effort job waits no more", "id", id, "why", context.Cause(ctx))
-		return timedOut()
+		return timeLimitVerdict()
 	}
 }
 
-const coverPoll = 5 * time.Millisecond
+const linkPollInterval = 5 * time.Millisecond
 
 // cover has agents linked that offer what a job needs, if too few are, and waits for them.
 // A subset is chosen without regard to labels, and the job would be refused though a
 // backend server with its label stands idle.
-func (e *Entry) cover(ctx context.Context, spec *job.Spec, p *job.Policy) {
+func (e *Entry) linkCapableAgents(ctx context.Context, spec *job.Spec, p *job.Policy) {
 	now := bootclock.Now()
 	if !e.links.Need(now, spec, p) {
 		return
 	}
 	e.links.Reconcile(now)
-	for end := now + core.CoverWait; !(e.links.Settled() && e.offered(spec, p)) && bootclock.Now() < end && ctx.Err() == nil; {
-		_ = pause.For(ctx, coverPoll)
+	for end := now + core.CoverWait; !(e.links.Settled() && e.hasCapableAgents(spec, p)) && bootclock.Now() < end && ctx.Err() == nil; {
+		_ = pause.For(ctx, linkPollInterval)
 	}
 }
 
 // offered reports whether each step of a job finds an agent that offers what it needs.
-func (e *Entry) offered(spec *job.Spec, p *job.Policy) bool {
+func (e *Entry) hasCapableAgents(spec *job.Spec, p *job.Policy) bool {
 	for i := range spec.Steps {
 		if st := &spec.Steps[i]; !e.fleet.Offers(p.Service, st.Label, st.Demand) {
 			return false
--- a/daemon/entry/drains.go
+++ b/daemon/entry/drains.go
@@ -26,7 +26,7 @@
 
 // drainsChanged has nothing more placed in the drained failure domains, and tells all
 // linked agents.
-func (e *Entry) drainsChanged(s drains.State) {
+func (e *Entry) applyDrains(s drains.State) {
 	e.fleet.SetDrained(s)
 	e.links.Drain(s)
 	e.links.SendAll(func(*corepb.ToAgent) {})
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -30,17 +30,17 @@
 
 const (
 	// ownerPoll is the pace at which a question without an owner looks again.
-	ownerPoll = 5 * time.Millisecond
+	ownerPollInterval = 5 * time.Millisecond
 	// ownerWait bounds that search for questions about known jobs: a planned
 	// handover takes about 50 ms.
-	ownerWait = 400 * time.Millisecond
+	ownerSearchTimeout = 400 * time.Millisecond
 	// awaitPatience bounds the search for the owner of an accepted job whose
 	// client waits for its end: every agent may have lost power and come back.
-	awaitPatience = time.Minute
+	awaitSearchTimeout = time.Minute
 	// refuseAfter is the part of its latency objective after which a job that
 	// no owner could be found for is refused: its caller is better off asking
 	// again than waiting for a takeover of a second.
-	refuseAfter = 0.2
+	submitSearchShare = 0.2
 )
 
 // Entry takes clients' questions to the owners of their jobs.
@@ -55,27 +55,27 @@
 	table  atomic.Pointer[routing.Table]
 	fleet  *owner.Fleet
 	// effort has the best-effort jobs of this life.
-	effort  *core.Steps
-	owners  *ownerBook
-	numbers *numbers
-	drains  *core.DrainWatch
+	bestEffort *core.Steps
+	owners     *ownerCache
+	buckets    *buckets
+	drains     *core.DrainWatch
 }
 
 // New returns an entry that does nothing yet.
 func New(s *settings.Settings, st store.Store, config store.Partition, decode func(store.Record) (*routing.Table, error), drains core.DrainSource) *Entry {
 	e := &Entry{
 		settings: s, store: st, metrics: core.NewCoreMetrics(),
-		config: config, decode: decode, owners: newOwnerBook(s, st), numbers: newNumbers(s, st),
+		config: config, decode: decode, owners: newOwnerCache(s, st), buckets: newBuckets(s, st),
 		fleet: owner.NewFleet(s.Bounds.RemoteFactor, owner.DefaultParams()),
 	}
-	e.drains = core.NewDrainWatch(drains, e.drainsChanged)
+	e.drains = core.NewDrainWatch(drains, e.applyDrains)
 	e.metrics.WatchDrains(e.drains)
 	// The name is that of this life: agents tell its runs from a later one's.
 	dialer := peer.NewDialer(core.MemberName(s.Name, xid.New().String()), e)
 	e.links = core.NewLinkSet(s.Links, e, e.fleet, e.metrics, func(node string, reg core.Registration) core.AgentLink {
 		return dialer.Dial(context.Background(), node, reg.Links)
 	})
-	e.effort = e.newEffort()
+	e.bestEffort = e.newBestEffort()
 	e.metrics.WatchFleet(e.fleet)
 	return e
 }
@@ -88,13 +88,13 @@
 	for _, follow := range e.followers() {
 		wg.Go(func() { follow(ctx) })
 	}
-	dealt := make(chan struct{})
-	wg.Go(func() { e.numbers.run(ctx, sync.OnceFunc(func() { close(dealt) })) })
+	joinAttempted := make(chan struct{})
+	wg.Go(func() { e.buckets.run(ctx, sync.OnceFunc(func() { close(joinAttempted) })) })
 	wg.Go(func() { e.links.Follow(ctx, e.store) })
 	wg.Go(func() {
 		select {
-		case <-dealt:
-		case <-time.After(numbersWait):
+		case <-joinAttempted:
+		case <-time.After(firstJoinTimeout):
 		}
 		e.links.Open()
 		e.links.Maintain(ctx)
@@ -104,13 +104,13 @@
 }
 
 // Share implements linkUser.
-func (e *Entry) Share() subset.Share { return e.numbers.get() }
+func (e *Entry) Share() subset.Share { return e.buckets.get() }
 
 // Required implements linkUser: owners of recorded jobs are linked while they are asked.
 func (e *Entry) Required() []string { return e.owners.inUse(bootclock.Now()) }
 
 // Occupied implements linkUser.
-func (e *Entry) Occupied(node string) bool { return e.effort.MayHaveRunsAt(node) }
+func (e *Entry) Occupied(node string) bool { return e.bestEffort.MayHaveRunsAt(node) }
 
 // applyConfig takes up a version unless a newer one is in force: a reader that
 // starts again may see older ones.
@@ -140,7 +140,7 @@
 // its orders. A link alone doesn't say that: with links whose claims were refused an entry
 // that refused every job kept its part of the clients, who would have been served by others.
 func (e *Entry) Ready() bool {
-	return e.table.Load() != nil && e.effort.ReachableAgents() > 0
+	return e.table.Load() != nil && e.bestEffort.ReachableAgents() > 0
 }
 
 // Agents returns what is known of the agents.
@@ -165,14 +165,14 @@
 // LinkUp implements peer.LinkHandler.
 func (e *Entry) LinkUp(node string, session int64) *corepb.ToAgent {
 	e.fleet.Linked(node)
-	return &corepb.ToAgent{Claims: e.effort.LinkUp(node, session)}
+	return &corepb.ToAgent{Claims: e.bestEffort.LinkUp(node, session)}
 }
 
 // LinkDown implements peer.LinkHandler.
 func (e *Entry) LinkDown(node string, session int64) {
 	e.fleet.LinkLost(node)
-	e.effort.LinkDown(node, session)
-	e.owners.lost(node)
+	e.bestEffort.LinkDown(node, session)
+	e.owners.linkLost(node)
 }
 
 // LinkFrame implements peer.LinkHandler.
@@ -182,22 +182,22 @@
 		e.fleet.Update(bootclock.Now(), node, wire.LoadFromWire(l))
 	}
 	for _, p := range f.GetClaimed() {
-		e.effort.TakeClaimed(node, p)
+		e.bestEffort.TakeClaimed(node, p)
 	}
 	for _, p := range f.GetEvents() {
-		e.effort.TakeEvent(node, p)
+		e.bestEffort.TakeEvent(node, p)
 	}
-	e.owners.note(node, f)
-	e.effort.PlaceWaiting()
+	e.owners.update(node, f)
+	e.bestEffort.PlaceWaiting()
 }
 
 // owner returns a shard's owner and its client; nil while it is not known or not linked.
-func (e *Entry) owner(ctx context.Context, shard int) (string, corepb.CoreClient) {
-	node, fresh := e.owners.use(bootclock.Now(), shard)
+func (e *Entry) findOwner(ctx context.Context, shard int) (string, corepb.CoreClient) {
+	node, newlyUsed := e.owners.use(bootclock.Now(), shard)
 	if link := e.links.Get(node); link != nil && link.Up() {
 		return node, link.Client()
 	}
-	if e.owners.look(ctx) || fresh {
+	if e.owners.refresh(ctx) || newlyUsed {
 		e.links.Reconcile(bootclock.Now())
 	}
 	return "", nil
--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -33,12 +33,12 @@
 	mu     sync.Mutex
 	orders []*corepb.Order // guarded by mu
 	stops  []*corepb.Stop  // guarded by mu
-	// books answer claims as an agent does; nil: each claim is granted. Guarded by mu.
-	books *worker.Worker
+	// worker answer claims as an agent does; nil: each claim is granted. Guarded by mu.
+	worker *worker.Worker
 	// links counts the links that were made, and broken is set to end the next one on
 	// which a frame comes. Guarded by mu.
-	links  int
-	broken bool
+	links     int
+	breakNext bool
 }
 
 func startFakeAgent(t *testing.T) *fakeAgent {
@@ -69,8 +69,8 @@
 	a.mu.Lock()
 	a.orders = append(a.orders, f.GetOrders()...)
 	a.stops = append(a.stops, f.GetStops()...)
-	broken := a.broken
-	a.broken = false
+	broken := a.breakNext
+	a.breakNext = false
 	a.mu.Unlock()
 	if broken {
 		return errors.New("broken")
@@ -78,41 +78,41 @@
 	c.Send(func(out *corepb.FromAgent) {
 		for _, p := range f.GetClaims() {
 			if !a.silent {
-				out.Claimed = append(out.Claimed, a.answer(c, p))
+				out.Claimed = append(out.Claimed, a.answerClaim(c, p))
 			}
 		}
 	})
 	return nil
 }
 
-// answer is that to a claim.
-func (a *fakeAgent) answer(c *peer.Caller, p *corepb.Claim) *corepb.Claimed {
+// answerClaim is that to a claim.
+func (a *fakeAgent) answerClaim(c *peer.Caller, p *corepb.Claim) *corepb.Claimed {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.books == nil {
+	if a.worker == nil {
 		return &corepb.Claimed{Shard: p.GetShard(), Epoch: p.GetEpoch(), Session: p.GetSession()}
 	}
 	claim := worker.Claim{Shard: int(p.GetShard()), Epoch: p.GetEpoch(), Session: p.GetSession(), Owner: c.Node}
-	answer := a.books.Claim(bootclock.Now(), claim)
+	answer := a.worker.Claim(bootclock.Now(), claim)
 	return wire.ClaimedToWire(&answer)
 }
 
-// keepBooks has claims answered as an agent does.
-func (a *fakeAgent) keepBooks() {
+// useWorker has claims answered as an agent does.
+func (a *fakeAgent) useWorker() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.books = worker.New(worker.Bounds{Lease: time.Second, OwnerSilence: core.OwnerSilence, Relink: core.Relink, Adoption: core.Adoption, Shards: coretest.Shards})
+	a.worker = worker.New(worker.Bounds{Lease: time.Second, OwnerSilence: core.OwnerSilence, Relink: core.Relink, Adoption: core.Adoption, Shards: coretest.Shards})
 }
 
 // breakLink ends the link on which the next frame comes.
 func (a *fakeAgent) breakLink() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.broken = true
+	a.breakNext = true
 }
 
-// linked counts the links that were made.
-func (a *fakeAgent) linked() int {
+// linkCount counts the links that were made.
+func (a *fakeAgent) linkCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.links
@@ -122,13 +122,13 @@
 	f.Load = &corepb.Load{Service: "desk", CapacityCpu: 1000, FreeCpu: 1000, Accepts: true}
 }
 
-func (a *fakeAgent) ordered() int {
+func (a *fakeAgent) orderCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.orders)
 }
 
-func (a *fakeAgent) stopped() int {
+func (a *fakeAgent) stopCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.stops)
@@ -172,7 +172,7 @@
 
 const testJob job.ID = "00000000000000aa"
 
-func effortSpec() *job.Spec {
+func bestEffortSpec() *job.Spec {
 	return &job.Spec{BestEffort: true, Steps: []job.Step{{Count: 1, Demand: job.Demand{CPUMillis: 100}}}}
 }
 
@@ -184,13 +184,13 @@
 	is := is.New(t)
 	a := startFakeAgent(t)
 	e := newTestEntry(t, a)
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	got := make(chan owner.Response)
 	policy := &job.Policy{Service: "desk"}
 	go func() {
 		var v owner.Response
 		for {
-			v = e.Submit(ctx, testJob, effortSpec(), policy)
+			v = e.Submit(ctx, testJob, bestEffortSpec(), policy)
 			if v.Reason != owner.ReasonNoWorker {
 				break
 			}
@@ -198,26 +198,26 @@
 		}
 		got <- v
 	}()
-	coretest.Await(t, func() bool { return a.ordered() == 1 })
-	leave()
+	coretest.Await(t, func() bool { return a.orderCount() == 1 })
+	disconnect()
 	is.Equal((<-got).Outcome, owner.Unknown)
-	coretest.Await(t, func() bool { return a.stopped() == 1 })
+	coretest.Await(t, func() bool { return a.stopCount() == 1 })
 }
 
 // No agent has answered the entry's claim yet. Nothing was ordered, so the
 // refusal is true.
-func TestNoAgentRefusesABestEffortJob(t *testing.T) {
+func TestBestEffortJobIsRefusedWithoutAgents(t *testing.T) {
 	is := is.New(t)
 	a := startFakeAgent(t)
 	a.silent = true
 	e := newTestEntry(t, a)
-	v := e.Submit(context.Background(), testJob, effortSpec(), &job.Policy{Service: "desk"})
+	v := e.Submit(context.Background(), testJob, bestEffortSpec(), &job.Policy{Service: "desk"})
 	is.Equal(v.Outcome, owner.Refused)
-	is.Equal(a.ordered(), 0)
+	is.Equal(a.orderCount(), 0)
 }
 
 // No owner is known for a recorded job: nothing was sent, so it never runs.
-func TestNoOwnerRefusesTheJob(t *testing.T) {
+func TestJobIsRefusedWithoutOwner(t *testing.T) {
 	is := is.New(t)
 	e := newTestEntry(t)
 	v := e.Submit(context.Background(), testJob, &job.Spec{}, &job.Policy{})
--- a/daemon/entry/relink_test.go
+++ b/daemon/entry/relink_test.go
@@ -20,29 +20,29 @@
 func TestEntryServesAfterALinkIsDialledAgain(t *testing.T) {
 	is := is.New(t)
 	a := startFakeAgent(t)
-	a.keepBooks()
+	a.useWorker()
 	e := newTestEntry(t, a)
 	policy := &job.Policy{Service: "desk"}
-	coretest.Await(t, func() bool { return e.effort.ReachableAgents() == 1 })
+	coretest.Await(t, func() bool { return e.bestEffort.ReachableAgents() == 1 })
 
 	a.breakLink()
-	coretest.Await(t, func() bool { return a.linked() == 2 })
-	coretest.Await(t, func() bool { return e.effort.ReachableAgents() == 1 })
+	coretest.Await(t, func() bool { return a.linkCount() == 2 })
+	coretest.Await(t, func() bool { return e.bestEffort.ReachableAgents() == 1 })
 
 	e.links.Drop(a.addr)
-	e.effort.Step(func(now time.Duration) owner.Effects { return e.effort.Tick(now + time.Minute) }) // it is waited out
+	e.bestEffort.Step(func(now time.Duration) owner.Effects { return e.bestEffort.Tick(now + time.Minute) }) // it is waited out
 	e.links.Reconcile(time.Hour)
-	coretest.Await(t, func() bool { return a.linked() == 3 })
+	coretest.Await(t, func() bool { return a.linkCount() == 3 })
 
 	e.table.Store(&routing.Table{})
 	coretest.Await(t, e.Ready)
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	got := make(chan owner.Response, 1)
-	go func() { got <- e.submitEffort(ctx, testJob, effortSpec(), policy) }()
-	coretest.Await(t, func() bool { return a.ordered() == 1 || len(got) > 0 })
-	leave()
+	go func() { got <- e.submitBestEffort(ctx, testJob, bestEffortSpec(), policy) }()
+	coretest.Await(t, func() bool { return a.orderCount() == 1 || len(got) > 0 })
+	disconnect()
 	is.Equal((<-got).Reason, owner.ReasonTimeLimit) // not that the owner has changed
-	is.Equal(a.ordered(), 1)
+	is.Equal(a.orderCount(), 1)
 }
 
 // An entry has links, and no agent has answered a claim on one: whatever comes is refused.
--- a/daemon/entry/asking.go
+++ b/daemon/entry/requests.go
@@ -18,17 +18,17 @@
 // ask puts a question to the shard's owner, and again to the next owner when it
 // changes. Asking twice is safe: jobs are known by their IDs. It gives up when
 // no owner is found for patience, or when the context ends.
-func (e *Entry) ask(ctx context.Context, shard int, patience time.Duration, call func(context.Context, corepb.CoreClient) (*corepb.Verdict, error)) owner.Response {
+func (e *Entry) callOwner(ctx context.Context, shard int, searchTimeout time.Duration, call func(context.Context, corepb.CoreClient) (*corepb.Verdict, error)) owner.Response {
 	// sent is set once an owner may have taken the question in.
 	sent := false
-	searching := time.Now()
+	searchStart := time.Now()
 	for {
-		node, client := e.owner(ctx, shard)
+		node, client := e.findOwner(ctx, shard)
 		if client == nil {
-			if time.Since(searching) > patience || ctx.Err() != nil {
-				return unserved(sent)
+			if time.Since(searchStart) > searchTimeout || ctx.Err() != nil {
+				return noOwnerVerdict(sent)
 			}
-			_ = pause.For(ctx, ownerPoll)
+			_ = pause.For(ctx, ownerPollInterval)
 			continue
 		}
 		p, err := call(ctx, client)
@@ -40,29 +40,29 @@
 			e.metrics.Retries.WithLabelValues(v.Reason).Inc()
 			sent = sent || v.Outcome == owner.Unknown
 			e.owners.forget(shard, node)
-			_ = pause.For(ctx, ownerPoll)
-			searching = time.Now()
+			_ = pause.For(ctx, ownerPollInterval)
+			searchStart = time.Now()
 			continue
 		}
 		if ctx.Err() != nil {
-			return timedOut()
+			return timeLimitVerdict()
 		}
 		code := status.Code(err)
 		e.metrics.Retries.WithLabelValues("link_" + code.String()).Inc()
 		klog.InfoS("A question got no answer", "shard", shard, "agent", node, "code", code.String())
 		sent = true
 		e.owners.forget(shard, node)
-		searching = time.Now()
+		searchStart = time.Now()
 	}
 }
 
 // timedOut is the verdict when the client's time limit has passed.
-func timedOut() owner.Response {
+func timeLimitVerdict() owner.Response {
 	return owner.Response{Outcome: owner.Unknown, Reason: owner.ReasonTimeLimit, RetryAfter: time.Second}
 }
 
 // unserved is the verdict when no owner has answered.
-func unserved(sent bool) owner.Response {
+func noOwnerVerdict(sent bool) owner.Response {
 	if sent {
 		return owner.Response{Outcome: owner.Unknown, Reason: owner.ReasonOwnerLost, RetryAfter: time.Second}
 	}
@@ -76,9 +76,9 @@
 	m := &corepb.Submission{Shard: int32(shard), Id: string(id), Spec: wire.SpecToWire(spec), Policy: wire.PolicyToWire(p)}
 	var v owner.Response
 	if spec.BestEffort {
-		v = e.submitEffort(ctx, id, spec, p)
+		v = e.submitBestEffort(ctx, id, spec, p)
 	} else {
-		v = e.ask(ctx, shard, patience(spec, p), func(ctx context.Context, c corepb.CoreClient) (*corepb.Verdict, error) {
+		v = e.callOwner(ctx, shard, submitSearchTimeout(spec, p), func(ctx context.Context, c corepb.CoreClient) (*corepb.Verdict, error) {
 			return c.Submit(ctx, m)
 		})
 	}
@@ -86,31 +86,31 @@
 	e.metrics.Submit.Observe(took.Seconds())
 	e.metrics.Verdict(v)
 	klog.InfoS("Submit", "id", id, "queue", p.Queue, "version", p.Version, "shard", shard, "best_effort", spec.BestEffort,
-		"patience", patienceLeft(ctx, began).Milliseconds(), "outcome", v.Outcome, "reason", v.Reason, "retry_after", v.RetryAfter.Milliseconds(), "took", took.Milliseconds())
+		"patience", clientTimeout(ctx, began).Milliseconds(), "outcome", v.Outcome, "reason", v.Reason, "retry_after", v.RetryAfter.Milliseconds(), "took", took.Milliseconds())
 	return v
 }
 
 // patienceLeft is how long a client was going to wait at a time; zero: without end.
-func patienceLeft(ctx context.Context, at time.Time) time.Duration {
+func clientTimeout(ctx context.Context, at time.Time) time.Duration {
 	if end, ok := ctx.Deadline(); ok {
 		return end.Sub(at)
 	}
 	return 0
 }
 
-func patience(spec *job.Spec, p *job.Policy) time.Duration {
+func submitSearchTimeout(spec *job.Spec, p *job.Policy) time.Duration {
 	objective := p.Target
 	for i := range spec.Steps {
 		objective += time.Duration(max(p.Slack, 1) * float64(spec.Steps[i].Estimate))
 	}
-	return time.Duration(refuseAfter * float64(objective))
+	return time.Duration(submitSearchShare * float64(objective))
 }
 
 // Lookup asks for a job's state.
 func (e *Entry) Lookup(ctx context.Context, id job.ID) owner.Response {
 	began := time.Now()
 	shard := id.Shard(e.settings.Shards())
-	v := e.ask(ctx, shard, ownerWait, func(ctx context.Context, c corepb.CoreClient) (*corepb.Verdict, error) {
+	v := e.callOwner(ctx, shard, ownerSearchTimeout, func(ctx context.Context, c corepb.CoreClient) (*corepb.Verdict, error) {
 		return c.Lookup(ctx, &corepb.Question{Shard: int32(shard), Id: string(id)})
 	})
 	e.metrics.Lookup.Observe(time.Since(began).Seconds())
@@ -123,7 +123,7 @@
 // Await asks for what a job has come to, when it has ended.
 func (e *Entry) Await(ctx context.Context, id job.ID) owner.Response {
 	shard := id.Shard(e.settings.Shards())
-	return e.ask(ctx, shard, awaitPatience, func(ctx context.Context, c corepb.CoreClient) (*corepb.Verdict, error) {
+	return e.callOwner(ctx, shard, awaitSearchTimeout, func(ctx context.Context, c corepb.CoreClient) (*corepb.Verdict, error) {
 		return c.Await(ctx, &corepb.Question{Shard: int32(shard), Id: string(id)})
 	})
 }
@@ -131,7 +131,7 @@
 // Cancel ends a job.
 func (e *Entry) Cancel(ctx context.Context, id job.ID) owner.Response {
 	shard := id.Shard(e.settings.Shards())
-	v := e.ask(ctx, shard, ownerWait, func(ctx context.Context, c corepb.CoreClient) (*corepb.Verdict, error) {
+	v := e.callOwner(ctx, shard, ownerSearchTimeout, func(ctx context.Context, c corepb.CoreClient) (*corepb.Verdict, error) {
 		return c.Cancel(ctx, &corepb.Question{Shard: int32(shard), Id: string(id)})
 	})
 	klog.InfoS("Cancel", "id", id, "shard", shard, "outcome", v.Outcome, "reason", v.Reason)
@@ -164,16 +164,16 @@
 		out := make(map[string]corepb.CoreClient)
 		complete := true
 		for shard := range e.settings.Shards() {
-			node, client := e.owner(ctx, shard)
+			node, client := e.findOwner(ctx, shard)
 			if client == nil {
 				complete = false
 				continue
 			}
 			out[node] = client
 		}
-		if complete || ctx.Err() != nil || time.Since(began) > ownerWait {
+		if complete || ctx.Err() != nil || time.Since(began) > ownerSearchTimeout {
 			return out, complete
 		}
-		_ = pause.For(ctx, ownerPoll)
+		_ = pause.For(ctx, ownerPollInterval)
 	}
 }
