--- a/daemon/entry/best_effort.go
+++ b/daemon/entry/best_effort.go
@@ -14,22 +14,23 @@
 	"github.com/shallotstep/shallotstep/transport/pause"
 )
 
-// An entry runs best-effort jobs itself, in a shard of its own life: nothing of
-// such a job is in the store, and its client's connection is lost with the entry
-// anyway, so no other process can be lost with it.
+// An entry owns its best-effort jobs itself, in a private shard of its incarnation.
+// Nothing about such a job is in the store, and the client's connection breaks with the
+// entry anyway. If another process owned the job, the loss of that process would lose
+// the job as well.
 
-// privateShard draws the number of the shard. Two lives that drew the same one
-// would take each other's runs for their own; among 2^30 numbers the tens of
-// lives that an agent remembers at a time never do.
+// privateShard returns a random number for a private shard. Two incarnations with the same
+// number would take each other's runs for their own. An agent remembers tens of
+// incarnations at a time, which practically never draw the same of 2^30 numbers.
 func privateShard(shards int) int { return shards + 1 + rand.IntN(1<<30) }
 
-// newEffort returns the shard for best-effort jobs of an entry's life.
+// newBestEffort returns the shard for the best-effort jobs of this incarnation.
 func (e *Entry) newBestEffort() *core.Steps {
 	s := owner.NewPrivate(bootclock.Now(), privateShard(e.settings.Shards()), core.OwnerBounds(e.settings), e.fleet)
 	return core.NewSteps(s, e.links, e.metrics)
 }
 
-// tickLoop lets time pass in the entry's shard.
+// tickLoop runs the time-dependent steps of the private shard until ctx ends.
 func (e *Entry) tickLoop(ctx context.Context) {
 	t := time.NewTicker(core.TickEvery)
 	defer t.Stop()
@@ -43,7 +44,7 @@
 	}
 }
 
-// submitEffort runs a best-effort job to its end, or until its client has left.
+// submitBestEffort runs a best-effort job until it ends or its client stops waiting.
 func (e *Entry) submitBestEffort(ctx context.Context, id job.ID, spec *job.Spec, p *job.Policy) owner.Response {
 	e.linkCapableAgents(ctx, spec, p)
 	specWithTimeout := *spec
@@ -62,16 +63,17 @@
 		return v
 	case <-ctx.Done():
 		e.bestEffort.Step(func(now time.Duration) owner.Effects { return e.bestEffort.Abandon(now, id) })
-		klog.V(1).InfoS("The client of a best-effort job waits no more", "id", id, "why", context.Cause(ctx))
+		klog.V(1).InfoS("The client of a best-effort job no longer waits", "id", id, "why", context.Cause(ctx))
 		return timeLimitVerdict()
 	}
 }
 
+// linkPollInterval is the interval at which linkCapableAgents checks its links.
 const linkPollInterval = 5 * time.Millisecond
 
-// cover has agents linked that offer what a job needs, if too few are, and waits for them.
-// A subset is chosen without regard to labels, and the job would be refused though a
-// backend server with its label stands idle.
+// linkCapableAgents links more agents that can run a job if too few are linked, and waits a
+// limited time for them. The subset is chosen without regard to labels, so the job could
+// otherwise be refused although a backend server with its label is idle.
 func (e *Entry) linkCapableAgents(ctx context.Context, spec *job.Spec, p *job.Policy) {
 	now := bootclock.Now()
 	if !e.links.Need(now, spec, p) {
@@ -83,7 +85,8 @@
 	}
 }
 
-// offered reports whether each step of a job finds an agent that offers what it needs.
+// hasCapableAgents reports whether each step of a job has a linked agent that can run
+// it.
 func (e *Entry) hasCapableAgents(spec *job.Spec, p *job.Policy) bool {
 	for i := range spec.Steps {
 		if st := &spec.Steps[i]; !e.fleet.Offers(p.Service, st.Label, st.Demand) {
--- a/daemon/entry/buckets.go
+++ b/daemon/entry/buckets.go
@@ -15,27 +15,30 @@
 )
 
 const (
-	// EntriesGroup is the name under which entries share the numbers by which they choose
-	// their agents.
+	// EntriesGroup is the group of the store that assigns the hash buckets to the entries.
+	// An entry chooses its agents by its buckets.
 	EntriesGroup = "entries"
-	// numberTopics times the partitions of a topic is how many numbers there are. The
-	// topics stay empty: what the group deals is their partitions' numbers.
+	// bucketTopics is the number of topics whose partitions stand for the buckets, one
+	// partition for each. The topics stay empty: only the assignment of their partitions
+	// to the members of the group is used.
 	bucketTopics = 16
-	// numbersTTL is how long the numbers of an entry that is gone stay with it. One that
-	// restarts within it gets them back, and no link moves. Nothing but the evenness of
-	// the subsets rests on it.
+	// bucketsTTL is how long a stopped entry keeps its buckets. If it restarts within that
+	// time, it gets them back and no link changes. Only the evenness of the subsets
+	// depends on it.
 	bucketsTTL = 10 * time.Second
-	// numbersEvery is the pace of joins; four fit into the time to live.
+	// joinInterval is the interval between joins. Four joins fit into bucketsTTL.
 	joinInterval = 2500 * time.Millisecond
-	// numbersSettle is the pace while the group changes: a number changes hands once its
-	// holder has joined with the new generation.
+	// rebalanceJoinInterval is the interval between joins while the group rebalances. A
+	// bucket moves to another entry only after its holder has joined with the new
+	// generation.
 	rebalanceJoinInterval = 500 * time.Millisecond
-	// numbersWait is how long an entry that starts waits for its numbers before it links
-	// agents by its name: a call takes 5 ms, and with a slow store half a second.
+	// firstJoinTimeout is how long a starting entry waits for its buckets before it links
+	// the agents of its fallback bucket. A join takes 5 ms, with a slow store half a
+	// second.
 	firstJoinTimeout = 150 * time.Millisecond
 )
 
-// numbers are an entry's part of those by which agents are chosen.
+// buckets keeps an entry's share of the hash buckets by which agents are chosen.
 type buckets struct {
 	settings *settings.Settings
 	store    store.Store
@@ -48,7 +51,8 @@
 	return &buckets{settings: s, store: st, share: subset.FallbackShare(s.Name)}
 }
 
-// get returns the numbers that were dealt last, or one by the entry's name.
+// get returns the buckets that were last assigned, or the fallback bucket of the entry's
+// name if none were assigned yet.
 func (b *buckets) get() subset.Share {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -61,9 +65,9 @@
 	b.share = s
 }
 
-// run stays in the group until the context ends. It calls tried after its first call. An
-// entry that can't reach the store keeps its numbers: two that hold the same one link
-// more of the same agents, and nothing else.
+// run keeps the entry in the group until ctx ends. It calls attempted after each attempt to
+// join. An entry that can't reach the store keeps its buckets: two entries that hold the
+// same bucket link more of the same agents, which has no other effect.
 func (b *buckets) run(ctx context.Context, attempted func()) {
 	var generation int64
 	lost := false
@@ -73,7 +77,7 @@
 			klog.InfoS("Lost the group of the entries", "err", err)
 		}
 		if err == nil && lost {
-			klog.InfoS("The group of the entries is reached again")
+			klog.InfoS("Reached the group of the entries again")
 		}
 		lost = err != nil
 		interval := joinInterval
@@ -88,6 +92,8 @@
 	}
 }
 
+// join joins the group, or renews the membership, and stores the assigned buckets. It
+// returns the group's generation.
 func (b *buckets) join(ctx context.Context, generation int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, core.StoreTimeout)
 	defer cancel()
--- a/daemon/entry/capacities_test.go
+++ b/daemon/entry/capacities_test.go
@@ -15,9 +15,10 @@
 	"github.com/shallotstep/shallotstep/state/store"
 )
 
-// An entry links a few of many agents, and a task is larger than those are. Refused by what
-// is linked it was said to fit nowhere, beside a backend server that has room for it. What a
-// linked one says now goes before what it has registered.
+// Guards against judging by the linked agents alone whether a task fits any backend server.
+// An entry links only a few of many agents. A task that exceeds those was refused for good
+// although another backend server had the capacity. What a linked agent reports takes
+// precedence over what it has registered.
 func TestCapacitiesAreThoseOfAllKnownAgents(t *testing.T) {
 	is := is.New(t)
 	e := New(coretest.Settings(), coretest.NoStore{}, store.Partition{Topic: "config"}, nil, core.DrainSource{})
--- a/daemon/entry/drains.go
+++ b/daemon/entry/drains.go
@@ -10,8 +10,8 @@
 	"github.com/shallotstep/shallotstep/protocol/core/corepb"
 )
 
-// followers keep the configuration and the drains up to date until the context ends. Where
-// both stand in one partition one reader does for both.
+// followers returns the functions that keep the configuration and the drains up to date,
+// each until its context ends. If both are in one partition, a single reader follows it.
 func (e *Entry) followers() []func(context.Context) {
 	if e.drains.Partition() == e.config {
 		return []func(context.Context){
@@ -24,8 +24,8 @@
 	}
 }
 
-// drainsChanged has nothing more placed in the drained failure domains, and tells all
-// linked agents.
+// applyDrains stops the placement of work in the drained failure domains and sends the
+// drains to all linked agents.
 func (e *Entry) applyDrains(s drains.State) {
 	e.fleet.SetDrained(s)
 	e.links.Drain(s)
@@ -38,14 +38,14 @@
 	}
 }
 
-// Drains returns the drains in force, as far as they are known here.
+// Drains returns the newest drains that the entry knows.
 func (e *Entry) Drains() drains.State { return e.drains.State() }
 
-// Domains counts the agents of each known failure domain.
+// Domains returns the number of registered agents in each failure domain.
 func (e *Entry) Domains() map[string]int {
 	known, _ := e.links.Domains()
 	return known
 }
 
-// LinkComplete implements peer.LinkHandler.
+// LinkComplete implements peer.LinkHandler. It adds the known drains to every frame.
 func (e *Entry) LinkComplete(f *corepb.ToAgent) { f.Drains = e.drains.Frame() }
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry is the process that takes clients' requests: it takes recorded jobs to their
-// owners, and runs best-effort jobs itself.
+// Package entry implements the process that serves clients. It forwards recorded jobs to
+// their owners and runs best-effort jobs itself.
 package entry
 
 import (
@@ -29,39 +29,42 @@
 )
 
 const (
-	// ownerPoll is the pace at which a question without an owner looks again.
+	// ownerPollInterval is the interval at which a request looks again for its shard's
+	// owner.
 	ownerPollInterval = 5 * time.Millisecond
-	// ownerWait bounds that search for questions about known jobs: a planned
-	// handover takes about 50 ms.
+	// ownerSearchTimeout bounds that search for requests about existing jobs. A planned
+	// handover of a shard takes about 50 ms.
 	ownerSearchTimeout = 400 * time.Millisecond
-	// awaitPatience bounds the search for the owner of an accepted job whose
-	// client waits for its end: every agent may have lost power and come back.
+	// awaitSearchTimeout bounds the search for the owner of an accepted job whose
+	// client waits for its end. All agents may have lost power and be restarting.
 	awaitSearchTimeout = time.Minute
-	// refuseAfter is the part of its latency objective after which a job that
-	// no owner could be found for is refused: its caller is better off asking
-	// again than waiting for a takeover of a second.
+	// submitSearchShare is the share of its latency objective after which a job
+	// without a known owner is refused. A retry serves its client better than the
+	// wait for a takeover, which takes a second.
 	submitSearchShare = 0.2
 )
 
-// Entry takes clients' questions to the owners of their jobs.
+// Entry forwards clients' requests to the owners of their jobs.
 type Entry struct {
 	settings *settings.Settings
 	store    store.Store
 	metrics  *core.CoreMetrics
 	links    *core.LinkSet
-	// decode reads a version of the configuration from a record.
+	// decode reads a version of the configuration from a record. It returns nil for
+	// records of other kinds.
 	decode func(store.Record) (*routing.Table, error)
 	config store.Partition
 	table  atomic.Pointer[routing.Table]
 	fleet  *owner.Fleet
-	// effort has the best-effort jobs of this life.
+	// bestEffort is the private shard with the best-effort jobs of this incarnation.
 	bestEffort *core.Steps
 	owners     *ownerCache
 	buckets    *buckets
 	drains     *core.DrainWatch
 }
 
-// New returns an entry that does nothing yet.
+// New returns an entry. It has no effect until Run is called. config is the partition of
+// the configuration, and decode reads its records.
 func New(s *settings.Settings, st store.Store, config store.Partition, decode func(store.Record) (*routing.Table, error), drains core.DrainSource) *Entry {
 	e := &Entry{
 		settings: s, store: st, metrics: core.NewCoreMetrics(),
@@ -70,7 +73,8 @@
 	}
 	e.drains = core.NewDrainWatch(drains, e.applyDrains)
 	e.metrics.WatchDrains(e.drains)
-	// The name is that of this life: agents tell its runs from a later one's.
+	// The name contains the incarnation, by which agents tell the entry's runs from those
+	// of a later incarnation.
 	dialer := peer.NewDialer(core.MemberName(s.Name, xid.New().String()), e)
 	e.links = core.NewLinkSet(s.Links, e, e.fleet, e.metrics, func(node string, reg core.Registration) core.AgentLink {
 		return dialer.Dial(context.Background(), node, reg.Links)
@@ -80,7 +84,7 @@
 	return e
 }
 
-// Run follows the configuration and the agents until the context ends.
+// Run follows the configuration, the drains and the agents until ctx ends.
 func (e *Entry) Run(ctx context.Context) error {
 	defer e.links.Close()
 	var wg conc.WaitGroup
@@ -106,21 +110,22 @@
 // Share implements linkUser.
 func (e *Entry) Share() subset.Share { return e.buckets.get() }
 
-// Required implements linkUser: owners of recorded jobs are linked while they are asked.
+// Required implements linkUser: the owners of recorded jobs are linked while requests go
+// to them.
 func (e *Entry) Required() []string { return e.owners.inUse(bootclock.Now()) }
 
 // Occupied implements linkUser.
 func (e *Entry) Occupied(node string) bool { return e.bestEffort.MayHaveRunsAt(node) }
 
-// applyConfig takes up a version unless a newer one is in force: a reader that
-// starts again may see older ones.
+// applyConfig puts a version of the configuration into force unless it or a newer one
+// already is: a reader that starts over may read older versions again.
 func (e *Entry) applyConfig(r store.Record) {
 	if r.Value == nil {
 		return
 	}
 	t, err := e.decode(r)
 	if err != nil {
-		klog.ErrorS(err, "A configuration can't be read and is left out")
+		klog.ErrorS(err, "Ignored a configuration that can't be read")
 		return
 	}
 	if t == nil {
@@ -133,21 +138,22 @@
 	klog.InfoS("A configuration is in force", "version", t.Version, "routes", len(t.Routes))
 }
 
-// Table returns the configuration in force, or nil before the first.
+// Table returns the configuration in force, or nil if there is none yet.
 func (e *Entry) Table() *routing.Table { return e.table.Load() }
 
-// Ready reports whether the entry can serve: it has a configuration, and an agent takes
-// its orders. A link alone doesn't say that: with links whose claims were refused an entry
-// that refused every job kept its part of the clients, who would have been served by others.
+// Ready reports whether the entry can serve clients: it has a configuration, and an agent
+// accepts its orders. A link alone is not enough. With links whose claims are refused, an
+// entry refuses every job; if it were ready, it would keep its share of the clients, whom
+// other entries could serve.
 func (e *Entry) Ready() bool {
 	return e.table.Load() != nil && e.bestEffort.ReachableAgents() > 0
 }
 
-// Agents returns what is known of the agents.
+// Agents returns the last load of each agent that has reported one.
 func (e *Entry) Agents() []owner.AgentView { return e.fleet.Agents() }
 
-// Capacities are what the known backend servers of a service have: those that the entry
-// links by their last news, the others by the registry.
+// Capacities returns the capacities of the known backend servers of a service: as last
+// reported by linked agents, and as registered for all others.
 func (e *Entry) Capacities(service string) []job.Demand {
 	offers := e.links.Offers(service)
 	for _, a := range e.fleet.Agents() {
@@ -159,7 +165,7 @@
 	return slices.Collect(maps.Values(offers))
 }
 
-// Linked reports whether there is a link to an agent.
+// Linked reports whether a link to an agent is up.
 func (e *Entry) Linked() bool { return e.links.AnyUp() }
 
 // LinkUp implements peer.LinkHandler.
@@ -191,7 +197,8 @@
 	e.bestEffort.PlaceWaiting()
 }
 
-// owner returns a shard's owner and its client; nil while it is not known or not linked.
+// findOwner returns the name of a shard's owner and a client for it. If the owner is unknown
+// or not linked, it returns a nil client and begins to find or link the owner.
 func (e *Entry) findOwner(ctx context.Context, shard int) (string, corepb.CoreClient) {
 	node, newlyUsed := e.owners.use(bootclock.Now(), shard)
 	if link := e.links.Get(node); link != nil && link.Up() {
@@ -203,5 +210,5 @@
 	return "", nil
 }
 
-// Metrics serves the entry's metrics.
+// Metrics returns the handler that serves the entry's metrics.
 func (e *Entry) Metrics() http.Handler { return e.metrics.Handler() }
--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -23,20 +23,21 @@
 	"github.com/shallotstep/shallotstep/transport/peer"
 )
 
-// fakeAgent takes links, and notes what it is told.
+// fakeAgent accepts links and records the orders and stops that it receives.
 type fakeAgent struct {
 	server *peer.Server
 	addr   string
-	// silent agents answer no claim.
+	// silent is set if the agent answers no claims.
 	silent bool
 
 	mu     sync.Mutex
 	orders []*corepb.Order // guarded by mu
 	stops  []*corepb.Stop  // guarded by mu
-	// worker answer claims as an agent does; nil: each claim is granted. Guarded by mu.
+	// worker answers claims as in an agent. If it is nil, each claim is granted. Guarded
+	// by mu.
 	worker *worker.Worker
-	// links counts the links that were made, and broken is set to end the next one on
-	// which a frame comes. Guarded by mu.
+	// links counts the links that were established. breakNext is set to end the next link
+	// on which a frame arrives. Guarded by mu.
 	links     int
 	breakNext bool
 }
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// answerClaim is that to a claim.
+// answerClaim returns the answer to a claim.
 func (a *fakeAgent) answerClaim(c *peer.Caller, p *corepb.Claim) *corepb.Claimed {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -97,21 +98,21 @@
 	return wire.ClaimedToWire(&answer)
 }
 
-// useWorker has claims answered as an agent does.
+// useWorker makes the agent answer claims by a worker.Worker, as a real agent does.
 func (a *fakeAgent) useWorker() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.worker = worker.New(worker.Bounds{Lease: time.Second, OwnerSilence: core.OwnerSilence, Relink: core.Relink, Adoption: core.Adoption, Shards: coretest.Shards})
 }
 
-// breakLink ends the link on which the next frame comes.
+// breakLink ends the link on which the next frame arrives.
 func (a *fakeAgent) breakLink() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.breakNext = true
 }
 
-// linkCount counts the links that were made.
+// linkCount returns the number of links that were established.
 func (a *fakeAgent) linkCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -141,7 +142,7 @@
 	a.links++
 }
 
-// notOwner answers questions about shards.
+// notOwner is the verdict on requests for shards, of which the agent owns none.
 var notOwner = owner.Response{Outcome: owner.NotOwner, Reason: owner.ReasonOwnerChanged}
 
 func (a *fakeAgent) Submit(_ int, _ job.ID, _ job.Spec, _ job.Policy, reply func(owner.Response)) {
@@ -155,7 +156,7 @@
 
 func (a *fakeAgent) Pending(string) owner.Response { return owner.Response{} }
 
-// newTestEntry returns an entry with a link to each agent, all up.
+// newTestEntry returns an entry with a link to each agent. All links are up.
 func newTestEntry(t *testing.T, agents ...*fakeAgent) *Entry {
 	t.Helper()
 	e := New(coretest.Settings(), coretest.NoStore{}, store.Partition{Topic: "config"}, nil, core.DrainSource{})
@@ -176,10 +177,9 @@
 	return &job.Spec{BestEffort: true, Steps: []job.Step{{Count: 1, Demand: job.Demand{CPUMillis: 100}}}}
 }
 
-// The client of a best-effort job leaves, or its time limit passes. Its run is
-// stopped, since nobody waits for the result, and since the client may send the
-// job again to another entry, which knows nothing of this run. The answer leaves
-// the fate open.
+// The client of a best-effort job disconnects, or its time limit passes. The run must be
+// stopped: no client waits for the result, and the client may resubmit the job to another
+// entry, which doesn't know of this run. The outcome of the job is unknown.
 func TestClientThatLeavesHasItsRunsStopped(t *testing.T) {
 	is := is.New(t)
 	a := startFakeAgent(t)
@@ -204,8 +204,8 @@
 	coretest.Await(t, func() bool { return a.stopCount() == 1 })
 }
 
-// No agent has answered the entry's claim yet. Nothing was ordered, so the
-// refusal is true.
+// No agent has answered the entry's claim yet. Nothing was ordered, so the job certainly never
+// runs and is refused.
 func TestBestEffortJobIsRefusedWithoutAgents(t *testing.T) {
 	is := is.New(t)
 	a := startFakeAgent(t)
@@ -216,7 +216,8 @@
 	is.Equal(a.orderCount(), 0)
 }
 
-// No owner is known for a recorded job: nothing was sent, so it never runs.
+// No owner is known for a recorded job. No request was sent, so the job certainly never runs
+// and is refused.
 func TestJobIsRefusedWithoutOwner(t *testing.T) {
 	is := is.New(t)
 	e := newTestEntry(t)
@@ -224,8 +225,8 @@
 	is.Equal(v.Outcome, owner.Refused)
 }
 
-// An older configuration comes after a newer one, from a store whose history
-// was dropped and read anew: it must not come into force again.
+// Guards against putting an older configuration into force after a newer one. It arrives when
+// the store's log is trimmed and the reader starts over.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	is := is.New(t)
 	e := New(coretest.Settings(), coretest.NoStore{}, store.Partition{}, decodeVersion, core.DrainSource{})
@@ -235,7 +236,7 @@
 	is.Equal(e.Table().Version, int64(5))
 }
 
-// decodeVersion reads a version from one digit.
+// decodeVersion returns a configuration whose version is the digit in the record.
 func decodeVersion(r store.Record) (*routing.Table, error) {
 	return &routing.Table{Version: int64(r.Value[0] - '0')}, nil
 }
--- a/daemon/entry/owners.go
+++ b/daemon/entry/owners.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	// ownerUse is how long after the last question for a shard the link to its owner is
-	// kept.
+	// ownerIdleTimeout is how long the link to a shard's owner is kept after the last
+	// request for the shard.
 	ownerIdleTimeout = 10 * time.Second
-	// lookPause is the least pause between two looks at the store for owners that are not
-	// known; it doubles up to maxLookPause while nothing comes of them. A sudden loss
-	// leaves a shard without an owner for 1.2 s.
+	// minRefreshInterval is the least interval between two reads of the owners from the
+	// store. It doubles up to maxRefreshInterval while requests still find no owner. The
+	// sudden loss of an agent leaves its shards without an owner for 1.2 s.
 	minRefreshInterval = 50 * time.Millisecond
 	maxRefreshInterval = 400 * time.Millisecond
 )
 
-// ownerBook knows which agent owns each shard: by what linked agents say, and else by the
-// store's group. An entry links few of the agents, and owners that its recorded jobs need
-// are linked as they are asked.
+// ownerCache holds which agent owns each shard, as reported by the linked agents, or else
+// as assigned by the store's group. An entry links only a few of the agents;
+// the owners of its recorded jobs are linked when requests go to them.
 type ownerCache struct {
 	settings *settings.Settings
 	store    store.Store
@@ -40,17 +40,18 @@
 	// All fields below are guarded by mu.
 
 	owners map[int]shardOwner
-	// used is when a shard's owner was asked for last.
+	// usedAt is when the owner of a shard was last requested.
 	usedAt map[int]time.Duration
-	// looking is set while the store is asked; next is when it may be asked again.
+	// refreshing is set while the owners are read from the store, and nextRefresh is when
+	// they may be read again.
 	refreshing  bool
 	nextRefresh time.Duration
-	// vain spaces looks after which somebody still asks.
+	// backoff spaces successive refreshes that requests still need.
 	backoff pause.Backoff
 }
 
-// ownerView is the owner of a shard. An owner that only the store's group names has no
-// epoch yet.
+// shardOwner is the owner of a shard. The epoch is zero if only the store's group names the
+// owner.
 type shardOwner struct {
 	node  string
 	epoch int64
@@ -63,8 +64,8 @@
 	}
 }
 
-// use notes that a shard's owner is asked for, and returns it. It is fresh if the owner
-// was not in use just before, so that it may have no link.
+// use records a request for a shard and returns the shard's owner, or "" if it is unknown.
+// newlyUsed is true if the shard was idle before, so that its owner may not be linked.
 func (c *ownerCache) use(now time.Duration, shard int) (node string, newlyUsed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +74,7 @@
 	return c.owners[shard].node, !wasUsed || now-last > ownerIdleTimeout
 }
 
-// useAll notes that the owners of all shards are asked for.
+// useAll records a request for every shard.
 func (c *ownerCache) useAll(now time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +83,8 @@
 	}
 }
 
-// inUse names the owners that are asked.
+// inUse returns the owners of the shards that are in use, and forgets the use of idle
+// shards.
 func (c *ownerCache) inUse(now time.Duration) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,7 +101,7 @@
 	return slices.Collect(maps.Keys(nodes))
 }
 
-// note takes in which shards an agent says to own.
+// update records the shards that an agent reports as its own.
 func (c *ownerCache) update(node string, f *corepb.FromAgent) {
 	if !f.GetOwnedValid() {
 		return
@@ -121,14 +123,15 @@
 	}
 }
 
-// lost takes in that the link to an agent has ended.
+// linkLost removes an agent whose link has ended as an owner.
 func (c *ownerCache) linkLost(node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	maps.DeleteFunc(c.owners, func(_ int, o shardOwner) bool { return o.node == node })
 }
 
-// forget drops an owner that said it is none.
+// forget removes an agent as the owner of a shard after it did not answer a request for the
+// shard or answered that it is not the owner.
 func (c *ownerCache) forget(shard int, node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,8 +140,9 @@
 	}
 }
 
-// look asks the store who owns the shards, unless that was done just now, and reports
-// whether it did. Whoever asked in vain comes again.
+// refresh reads the owners of the shards from the store and reports whether it did. It does
+// nothing while another call reads them or if they were read too recently; callers that
+// still lack an owner repeat the call.
 func (c *ownerCache) refresh(ctx context.Context) bool {
 	if !c.beginRefresh(bootclock.Now()) {
 		return false
@@ -160,6 +164,8 @@
 	return true
 }
 
+// beginRefresh reports whether a refresh may begin. It resets the backoff if no request has
+// needed one for a while.
 func (c *ownerCache) beginRefresh(now time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,8 +179,9 @@
 	return true
 }
 
-// takeLocked takes in what the group says of a shard. What an agent has said of itself
-// stays until its link ends or it says otherwise: it is newer, or will be corrected.
+// updateFromGroupLocked records the owner that the store's group names for a shard. An owner
+// reported by the agent itself is kept until its link ends or it reports otherwise: its
+// report is newer than the group's, or will be corrected.
 func (c *ownerCache) updateFromGroupLocked(p store.Partition, node string) {
 	shard, ok := core.ShardSeries(c.settings).Number(p)
 	if !ok {
--- a/daemon/entry/relink_test.go
+++ b/daemon/entry/relink_test.go
@@ -13,10 +13,9 @@
 	"github.com/shallotstep/shallotstep/state/routing"
 )
 
-// All best-effort jobs of an entry, the only one of its failure domain, are answered
-// owner_changed from some second on until it is restarted, while it says it is ready.
-// One of its links was lost and made anew, then ended since it was not wanted any more,
-// and dialled again later.
+// Guards against an entry that answers every best-effort job with owner_changed until it is
+// restarted, although it reports ready. The failure came about when a link was lost and
+// established again, then closed because it was no longer needed, and dialled again later.
 func TestEntryServesAfterALinkIsDialledAgain(t *testing.T) {
 	is := is.New(t)
 	a := startFakeAgent(t)
@@ -30,7 +29,7 @@
 	coretest.Await(t, func() bool { return e.bestEffort.ReachableAgents() == 1 })
 
 	e.links.Drop(a.addr)
-	e.bestEffort.Step(func(now time.Duration) owner.Effects { return e.bestEffort.Tick(now + time.Minute) }) // it is waited out
+	e.bestEffort.Step(func(now time.Duration) owner.Effects { return e.bestEffort.Tick(now + time.Minute) }) // the lost link times out
 	e.links.Reconcile(time.Hour)
 	coretest.Await(t, func() bool { return a.linkCount() == 3 })
 
@@ -41,12 +40,12 @@
 	go func() { got <- e.submitBestEffort(ctx, testJob, bestEffortSpec(), policy) }()
 	coretest.Await(t, func() bool { return a.orderCount() == 1 || len(got) > 0 })
 	disconnect()
-	is.Equal((<-got).Reason, owner.ReasonTimeLimit) // not that the owner has changed
+	is.Equal((<-got).Reason, owner.ReasonTimeLimit) // not owner_changed
 	is.Equal(a.orderCount(), 1)
 }
 
-// An entry has links, and no agent has answered a claim on one: whatever comes is refused.
-// It must not say that it is ready, since others would serve its clients.
+// An entry has links, but no agent has answered a claim on any of them, so it refuses every
+// job. It must not report ready, because other entries could serve its clients.
 func TestEntryThatReachesNobodyIsNotReady(t *testing.T) {
 	is := is.New(t)
 	a := startFakeAgent(t)
--- a/daemon/entry/requests.go
+++ b/daemon/entry/requests.go
@@ -15,11 +15,12 @@
 	"github.com/shallotstep/shallotstep/transport/pause"
 )
 
-// ask puts a question to the shard's owner, and again to the next owner when it
-// changes. Asking twice is safe: jobs are known by their IDs. It gives up when
-// no owner is found for patience, or when the context ends.
+// callOwner sends a request to the shard's owner, and again to the next owner if this one
+// does not answer or no longer owns the shard. Requests are idempotent because jobs are
+// identified by their IDs. callOwner gives up when no owner is found for searchTimeout, or
+// when ctx ends.
 func (e *Entry) callOwner(ctx context.Context, shard int, searchTimeout time.Duration, call func(context.Context, corepb.CoreClient) (*corepb.Verdict, error)) owner.Response {
-	// sent is set once an owner may have taken the question in.
+	// sent is set once an owner may have accepted the request.
 	sent := false
 	searchStart := time.Now()
 	for {
@@ -49,19 +50,21 @@
 		}
 		code := status.Code(err)
 		e.metrics.Retries.WithLabelValues("link_" + code.String()).Inc()
-		klog.InfoS("A question got no answer", "shard", shard, "agent", node, "code", code.String())
+		klog.InfoS("A request to an owner got no answer", "shard", shard, "agent", node, "code", code.String())
 		sent = true
 		e.owners.forget(shard, node)
 		searchStart = time.Now()
 	}
 }
 
-// timedOut is the verdict when the client's time limit has passed.
+// timeLimitVerdict returns the verdict for a request whose time limit has passed. The job
+// may have been accepted.
 func timeLimitVerdict() owner.Response {
 	return owner.Response{Outcome: owner.Unknown, Reason: owner.ReasonTimeLimit, RetryAfter: time.Second}
 }
 
-// unserved is the verdict when no owner has answered.
+// noOwnerVerdict returns the verdict for a request that no owner has answered. It is a
+// refusal unless an owner may have accepted the request.
 func noOwnerVerdict(sent bool) owner.Response {
 	if sent {
 		return owner.Response{Outcome: owner.Unknown, Reason: owner.ReasonOwnerLost, RetryAfter: time.Second}
@@ -69,7 +72,7 @@
 	return owner.Response{Outcome: owner.Refused, Reason: owner.ReasonNoOwner, RetryAfter: time.Second}
 }
 
-// Submit hands a job to its owner.
+// Submit forwards a job to its owner. The entry runs a best-effort job itself.
 func (e *Entry) Submit(ctx context.Context, id job.ID, spec *job.Spec, p *job.Policy) owner.Response {
 	began := time.Now()
 	shard := id.Shard(e.settings.Shards())
@@ -90,7 +93,8 @@
 	return v
 }
 
-// patienceLeft is how long a client was going to wait at a time; zero: without end.
+// clientTimeout returns the time from at until the client stops waiting. Zero means that it
+// has no time limit.
 func clientTimeout(ctx context.Context, at time.Time) time.Duration {
 	if end, ok := ctx.Deadline(); ok {
 		return end.Sub(at)
@@ -98,6 +102,8 @@
 	return 0
 }
 
+// submitSearchTimeout returns how long a submission searches for the job's owner. The latency
+// objective is taken as if the steps ran one after another.
 func submitSearchTimeout(spec *job.Spec, p *job.Policy) time.Duration {
 	objective := p.Target
 	for i := range spec.Steps {
@@ -106,7 +112,7 @@
 	return time.Duration(submitSearchShare * float64(objective))
 }
 
-// Lookup asks for a job's state.
+// Lookup returns a job's state.
 func (e *Entry) Lookup(ctx context.Context, id job.ID) owner.Response {
 	began := time.Now()
 	shard := id.Shard(e.settings.Shards())
@@ -120,7 +126,7 @@
 	return v
 }
 
-// Await asks for what a job has come to, when it has ended.
+// Await waits until a job has ended and returns its result.
 func (e *Entry) Await(ctx context.Context, id job.ID) owner.Response {
 	shard := id.Shard(e.settings.Shards())
 	return e.callOwner(ctx, shard, awaitSearchTimeout, func(ctx context.Context, c corepb.CoreClient) (*corepb.Verdict, error) {
@@ -128,7 +134,7 @@
 	})
 }
 
-// Cancel ends a job.
+// Cancel cancels a job.
 func (e *Entry) Cancel(ctx context.Context, id job.ID) owner.Response {
 	shard := id.Shard(e.settings.Shards())
 	v := e.callOwner(ctx, shard, ownerSearchTimeout, func(ctx context.Context, c corepb.CoreClient) (*corepb.Verdict, error) {
@@ -138,15 +144,16 @@
 	return v
 }
 
-// Pending counts a queue's accepted jobs of which no task has started, over all owners.
-// It is false when an owner did not answer.
+// Pending returns the number of a queue's accepted jobs of which no task has started, over
+// all owners. It returns false if an owner is not linked or has not answered, so that the
+// number may be too low.
 func (e *Entry) Pending(ctx context.Context, queue string) (int, bool) {
 	owners, complete := e.linkedOwners(ctx)
 	total := 0
 	for node, client := range owners {
 		p, err := client.Pending(ctx, &corepb.Question{Queue: queue})
 		if err != nil {
-			klog.InfoS("An owner did not count", "agent", node, "err", err)
+			klog.InfoS("An owner did not return its number of pending jobs", "agent", node, "err", err)
 			complete = false
 			continue
 		}
@@ -155,8 +162,9 @@
 	return total, complete
 }
 
-// linkedOwners returns the owners of all shards, once all are linked or ownerWait has
-// passed, and whether all are.
+// linkedOwners returns clients for the owners of all shards, by the names of their agents.
+// It waits up to ownerSearchTimeout until all of them are linked, and reports whether they
+// are.
 func (e *Entry) linkedOwners(ctx context.Context) (map[string]corepb.CoreClient, bool) {
 	e.owners.useAll(bootclock.Now())
 	e.links.Reconcile(bootclock.Now())
