--- a/daemon/clients/reservations.go
+++ b/daemon/clients/reservations.go
@@ -12,7 +12,7 @@
 // the same job share one reservation. Otherwise a client that resubmits its job while the
 // first attempt is in progress could be refused because that attempt uses the quota.
 type quotaReservations struct {
-	quotas *quota.Limiter
+	limiter *quota.Limiter
 
 	mu    sync.Mutex
 	byJob map[state.JobKey]*quotaReservation // guarded by mu
@@ -30,7 +30,7 @@
 }
 
 func newQuotaReservations(entries int) *quotaReservations {
-	return &quotaReservations{quotas: quota.New(entries), byJob: make(map[state.JobKey]*quotaReservation)}
+	return &quotaReservations{limiter: quota.New(entries), byJob: make(map[state.JobKey]*quotaReservation)}
 }
 
 // reserve reserves quota for a job's tasks, unless a submission in progress has already
@@ -43,7 +43,7 @@
 		h.submissions++
 		return 0, true
 	}
-	wait, ok := b.quotas.Take(now, operator, l, tasks)
+	wait, ok := b.limiter.Take(now, operator, l, tasks)
 	if ok {
 		b.byJob[key] = &quotaReservation{operator: operator, tasks: tasks, submissions: 1}
 	}
@@ -67,7 +67,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if h := b.byJob[key]; h != nil && h.submissions == 1 {
-		b.quotas.Refund(h.operator, h.tasks)
+		b.limiter.Refund(h.operator, h.tasks)
 		h.tasks = 0
 	}
 }
@@ -82,6 +82,6 @@
 	if h.submissions > 0 {
 		return
 	}
-	b.quotas.Release(h.operator, h.tasks)
+	b.limiter.Release(h.operator, h.tasks)
 	delete(b.byJob, key)
 }
