--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -34,14 +34,14 @@
 type Executor interface {
 	Start(ctx context.Context, c worker.StartCall) (worker.StartOutcome, string)
 	Stop(ctx context.Context, c worker.StopCall) bool
-	Hold(ctx context.Context, c worker.HoldCall, wait time.Duration) (worker.Holding, error)
+	Hold(ctx context.Context, c worker.HoldCall, wait time.Duration) (worker.HoldResult, error)
 }
 
 // Agent is the process beside one backend server.
 type Agent struct {
 	settings *settings.Settings
 	store    store.Store
-	metrics  *core.CoreMetrics
+	metrics  *core.Metrics
 	// newExecutor returns a client for this life of the agent.
 	newExecutor func(fence int64) Executor
 	member      string
@@ -106,9 +106,9 @@
 // New returns an agent that does nothing yet.
 func New(s *settings.Settings, st store.Store, drains core.DrainSource, newExecutor func(fence int64) Executor) *Agent {
 	a := &Agent{
-		settings: s, store: st, newExecutor: newExecutor, metrics: core.NewCoreMetrics(),
+		settings: s, store: st, newExecutor: newExecutor, metrics: core.NewMetrics(),
 		member: core.MemberName(s.Name, xid.New().String()), started: bootclock.Now(),
-		worker:  worker.New(worker.Bounds{Lease: s.Bounds.Lease, OwnerSilence: core.OwnerSilence, Relink: core.Relink, Adoption: core.Adoption, Shards: s.Shards()}),
+		worker:  worker.New(worker.Bounds{Lease: s.Bounds.Lease, OwnerTimeout: core.OwnerSilenceTimeout, ReconnectTimeout: core.RelinkTimeout, AdoptionTimeout: core.AdoptionTimeout, Shards: s.Shards()}),
 		placed:  newPlacersLog(),
 		fleet:   owner.NewFleet(s.Bounds.RemoteFactor, owner.DefaultParams()),
 		shards:  make(map[int]*shardRunner),
@@ -158,7 +158,7 @@
 	// another owner's, and stops what this one left.
 	dialer := peer.NewDialer(a.member, a)
 	a.links = core.NewLinkSet(a.settings.Links, a, a.fleet, a.metrics, func(node string, reg core.Registration) core.AgentLink {
-		return dialer.Dial(ctx, node, reg.Links)
+		return dialer.Dial(ctx, node, reg.LinkAddr)
 	})
 	// From here on frames of others are taken in.
 	a.enrolled.Store(true)
@@ -175,7 +175,7 @@
 		case <-a.owns:
 		}
 		wg.Go(func() { a.links.Maintain(ctx) })
-		a.links.Follow(ctx, a.store)
+		a.links.FollowRegistry(ctx, a.store)
 	})
 	wg.Go(func() { a.memberLoop(ctx, before.Member) })
 	<-ctx.Done()
@@ -241,7 +241,7 @@
 			klog.InfoS("The agent has drained")
 			return
 		}
-		_ = pause.For(ctx, core.TickEvery)
+		_ = pause.For(ctx, core.TickInterval)
 	}
 }
 
@@ -275,7 +275,7 @@
 // Required implements linkUser: a takeover has to reach every agent that may have runs of
 // the shard, and ends that only owners can settle wait for one.
 func (a *Agent) Required() []string {
-	out := a.links.WithOrphans()
+	out := a.links.AgentsWithOrphans()
 	for _, r := range a.owned() {
 		out = append(out, r.UnreconciledAgents()...)
 	}
@@ -283,7 +283,7 @@
 }
 
 // Occupied implements linkUser.
-func (a *Agent) Occupied(node string) bool {
+func (a *Agent) MayHaveRunsAt(node string) bool {
 	return slices.ContainsFunc(a.owned(), func(r *shardRunner) bool { return r.Shard.MayHaveRunsAt(node) })
 }
 
--- a/daemon/agent/drains.go
+++ b/daemon/agent/drains.go
@@ -23,7 +23,7 @@
 // drained, and tells those that are linked with it.
 func (a *Agent) drainsChanged(s drains.State) {
 	a.fleet.SetDrained(s)
-	a.links.Drain(s)
+	a.links.SetDrained(s)
 	a.apply(a.worker.DrainDomain(bootclock.Now(), s.Has(a.settings.Domain)))
 	for c := range a.everyCaller() {
 		c.Send(nothing)
@@ -43,10 +43,10 @@
 	a.lookedAt.Set(now)
 	go func() {
 		defer a.looking.Store(false)
-		err := a.drains.Look(ctx, a.store)
+		err := a.drains.Refresh(ctx, a.store)
 		klog.InfoS("Looked for drains in the store, since those who place work here have not lately", "err", err)
 	}()
 }
 
 // LinkComplete implements peer.LinkHandler.
-func (a *Agent) LinkComplete(f *corepb.ToAgent) { f.Drains = a.drains.Frame() }
+func (a *Agent) LinkComplete(f *corepb.ToAgent) { f.Drains = a.drains.ToWire() }
--- a/daemon/agent/drains_test.go
+++ b/daemon/agent/drains_test.go
@@ -17,7 +17,7 @@
 
 // drainStore has one drain, and counts how often all of it is read.
 type drainStore struct {
-	coretest.NoStore
+	coretest.RejectingStore
 	reads atomic.Int32
 }
 
--- a/daemon/agent/enrol.go
+++ b/daemon/agent/enrol.go
@@ -18,7 +18,7 @@
 // of a record that this life writes; zero if the context has ended.
 func (a *Agent) enrol(ctx context.Context) int64 {
 	var life int64
-	core.UntilDone(ctx, "The agent can't begin its life yet", func() error {
+	core.Retry(ctx, "The agent can't begin its life yet", func() error {
 		offset, err := a.note(ctx, lifeKey(a.settings.Name), []byte(a.member))
 		life = offset + 1
 		return err
@@ -29,7 +29,7 @@
 // takeNotes takes in what earlier lives have written down.
 func (a *Agent) takeNotes(ctx context.Context) earlier {
 	var e earlier
-	core.UntilDone(ctx, "The notes of earlier lives can't be read yet", func() error {
+	core.Retry(ctx, "The notes of earlier lives can't be read yet", func() error {
 		var err error
 		e, err = a.readNotes(ctx)
 		return err
@@ -43,7 +43,7 @@
 		a.marked.Store(true)
 	}
 	if e.effortOnly() {
-		a.worker.Former(e.Owners)
+		a.worker.SetFormerOwners(e.Owners)
 	}
 	return e
 }
@@ -54,7 +54,7 @@
 func (a *Agent) keepRegistered(ctx context.Context) {
 	for ctx.Err() == nil {
 		before := a.registered.Load()
-		core.UntilDone(ctx, "The agent can't register yet", func() error { return a.register(ctx) })
+		core.Retry(ctx, "The agent can't register yet", func() error { return a.register(ctx) })
 		if a.registered.Load() != before {
 			_ = pause.For(ctx, offerPause)
 		}
@@ -72,7 +72,7 @@
 // register has the registry say what the agent offers, unless it does.
 func (a *Agent) register(ctx context.Context) error {
 	reg, ok := a.registration()
-	if last := a.registered.Load(); !ok || last != nil && reg.Same(last) {
+	if last := a.registered.Load(); !ok || last != nil && reg.Equal(last) {
 		return nil
 	}
 	if err := core.Announce(ctx, a.store, a.settings.Name, reg); err != nil {
@@ -80,7 +80,7 @@
 	}
 	a.registered.Store(reg)
 	a.placed.again()
-	klog.InfoS("The agent is registered", "links", reg.Links, "zone", reg.Zone, "service", reg.Offer.Service, "labels", reg.Offer.Labels, "orphans", reg.Orphans)
+	klog.InfoS("The agent is registered", "links", reg.LinkAddr, "zone", reg.Domain, "service", reg.Offer.Service, "labels", reg.Offer.Labels, "orphans", reg.Orphans)
 	return nil
 }
 
@@ -99,7 +99,7 @@
 		return nil, false
 	}
 	return &core.Registration{
-		Links: a.settings.Listen.LinksAddress(), Zone: a.settings.Domain, Orphans: a.orphaned.Load(),
+		LinkAddr: a.settings.Listen.LinksAddress(), Domain: a.settings.Domain, Orphans: a.orphaned.Load(),
 		Offer: &core.Offer{Service: s.Service, Labels: s.Labels, Capacity: s.Capacity},
 	}, true
 }
@@ -110,7 +110,7 @@
 	if a.placed.due(now) {
 		go a.writeNotes(ctx)
 	}
-	if !a.worker.Orphaned(now) || a.orphaned.Swap(true) {
+	if !a.worker.HasOrphanedEnds(now) || a.orphaned.Swap(true) {
 		return
 	}
 	klog.InfoS("Ends wait for the owners of their shards; they are asked to claim")
@@ -152,7 +152,7 @@
 	if !changed {
 		return
 	}
-	klog.InfoS("The backend server has changed", "instance", s.Instance, "service", s.Service, "labels", s.Labels, "cores", s.Capacity.CPUMillis, "draining", s.Draining, "cold", s.Cold)
+	klog.InfoS("The backend server has changed", "instance", s.Instance, "service", s.Service, "labels", s.Labels, "cores", s.Capacity.CPUMillis, "draining", s.Draining, "cold", s.ColdRemaining)
 	a.placed.again()
 }
 
@@ -183,4 +183,4 @@
 }
 
 // Left takes in that the backend server is going.
-func (a *Agent) Left(instance string) { a.apply(a.worker.Left(instance)) }
+func (a *Agent) Left(instance string) { a.apply(a.worker.Deregistered(instance)) }
--- a/daemon/agent/enrol_test.go
+++ b/daemon/agent/enrol_test.go
@@ -20,7 +20,7 @@
 
 // registryStore keeps what is written to the registry.
 type registryStore struct {
-	coretest.NoStore
+	coretest.RejectingStore
 	mu      sync.Mutex
 	written []core.Registration // guarded by mu
 }
--- a/daemon/agent/executor.go
+++ b/daemon/agent/executor.go
@@ -51,7 +51,7 @@
 			_ = pause.For(ctx, unknownWait)
 			continue
 		}
-		if c.Known {
+		if c.UnackedEnds {
 			_ = pause.For(ctx, knownPause)
 		}
 		began := bootclock.Now()
@@ -79,19 +79,19 @@
 	switch {
 	case c.First:
 		wait = 0
-	case c.Hurry:
+	case c.UnconfirmedStart:
 		wait = hurryWait
 	case c.Idle:
 		wait = idleWait
 	}
-	call, cancel := context.WithTimeout(ctx, wait+c.Patience)
+	call, cancel := context.WithTimeout(ctx, wait+c.ResponseTimeout)
 	defer cancel()
 	h, err := a.executor.Hold(call, c, wait)
 	if err != nil {
 		a.apply(a.worker.HoldFailed(bootclock.Now(), c, holdFailure(err)))
 		return err
 	}
-	a.apply(a.worker.Held(bootclock.Now(), c, h))
+	a.apply(a.worker.HoldAnswered(bootclock.Now(), c, h))
 	return nil
 }
 
@@ -106,7 +106,7 @@
 }
 
 func (a *Agent) start(c worker.StartCall) {
-	ctx, cancel := context.WithTimeout(context.Background(), c.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), c.ResponseTimeout)
 	defer cancel()
 	began := bootclock.Now()
 	outcome, reason := a.executor.Start(ctx, c)
@@ -137,7 +137,7 @@
 }
 
 func (a *Agent) tickLoop(ctx context.Context) {
-	t := time.NewTicker(core.TickEvery)
+	t := time.NewTicker(core.TickInterval)
 	defer t.Stop()
 	reported := bootclock.Now()
 	for {
--- a/daemon/agent/executor_test.go
+++ b/daemon/agent/executor_test.go
@@ -28,9 +28,9 @@
 	r.stops.Add(1)
 	return false
 }
-func (r *resetting) Hold(context.Context, worker.HoldCall, time.Duration) (worker.Holding, error) {
+func (r *resetting) Hold(context.Context, worker.HoldCall, time.Duration) (worker.HoldResult, error) {
 	r.holds.Add(1)
-	return worker.Holding{}, errReset
+	return worker.HoldResult{}, errReset
 }
 
 // A backend server goes down and up, and while it is down it takes connections and resets
@@ -39,7 +39,7 @@
 // room for some ten calls now.
 func TestCallsThatFailAtOnceAreSpaced(t *testing.T) {
 	is := is.New(t)
-	a := New(coretest.Settings(), coretest.NoStore{}, core.DrainSource{}, nil)
+	a := New(coretest.Settings(), coretest.RejectingStore{}, core.DrainSource{}, nil)
 	server := &resetting{}
 	a.executor = server
 	a.worker.Report(bootclock.Now(), worker.Server{Instance: "i", Service: "desk", Capacity: job.Demand{CPUMillis: 1000}}, 1)
--- a/daemon/agent/membership.go
+++ b/daemon/agent/membership.go
@@ -34,7 +34,7 @@
 		}
 		cancel()
 	}
-	tick := time.NewTicker(core.JoinEvery)
+	tick := time.NewTicker(core.JoinInterval)
 	defer tick.Stop()
 	var generation int64
 	lost := false
@@ -84,7 +84,7 @@
 	switch {
 	case idle > linkLinger:
 		a.links.Close()
-	case idle == 0 && a.links.Needed():
+	case idle == 0 && a.links.HasOrphans():
 		a.links.Open()
 	}
 }
@@ -97,7 +97,7 @@
 	defer cancel()
 	sent := bootclock.Now()
 	shards := core.ShardSeries(a.settings)
-	m, err := a.store.Join(call, core.OwnersGroup, a.member, shards.Names(), a.ttl(), generation)
+	m, err := a.store.Join(call, core.OwnersGroup, a.member, shards.TopicNames(), a.ttl(), generation)
 	if err != nil {
 		return generation, err
 	}
--- a/daemon/agent/news.go
+++ b/daemon/agent/news.go
@@ -100,7 +100,7 @@
 	f.Load.OrdersSeen = seen
 	f.Load.Placers = a.placers.Load()
 	f.Load.Orders = a.orders.Load()
-	f.Drains = a.drains.Frame()
+	f.Drains = a.drains.ToWire()
 	if n := a.newsFor(c); n != nil && n.told(now, levelOf(&l)) {
 		f.Owned, f.OwnedValid = a.ownership(), true
 	}
--- a/daemon/agent/notes.go
+++ b/daemon/agent/notes.go
@@ -27,7 +27,7 @@
 func (a *Agent) notesPartition() store.Partition {
 	h := fnv.New32a()
 	h.Write([]byte(a.settings.Name)) //nolint:errcheck // it never fails
-	notes := core.Series{Prefix: "keyed.notes", Topics: notesTopics, Parts: a.settings.Store.Partitions}
+	notes := core.PartitionSeries{Prefix: "keyed.notes", Topics: notesTopics, PartitionsPerTopic: a.settings.Store.Partitions}
 	return notes.Partition(int(h.Sum32() % uint32(notes.Size())))
 }
 
@@ -124,7 +124,7 @@
 func (a *Agent) writeNotes(ctx context.Context) {
 	n := notes{Owners: a.placed.owners(), Member: a.member, Registered: a.registered.Load()}
 	if s, ok := a.worker.Server(); ok {
-		n.Server = known(s, a.worker.Varies())
+		n.Server = known(s, a.worker.CapacityChanged())
 	}
 	b, err := json.Marshal(&n)
 	if err != nil {
@@ -154,7 +154,7 @@
 		return
 	}
 	ctx := context.Background()
-	core.UntilDone(ctx, "That recorded jobs may run here could not be written down; their owner waits", func() error {
+	core.Retry(ctx, "That recorded jobs may run here could not be written down; their owner waits", func() error {
 		_, err := a.note(ctx, markKey(a.settings.Name), []byte(a.member))
 		return err
 	})
--- a/daemon/agent/questions.go
+++ b/daemon/agent/questions.go
@@ -23,8 +23,8 @@
 		reply(verdictNotOwner)
 		return
 	}
-	if now := bootclock.Now(); a.links.Need(now, &spec, &p) && a.links.Opened() {
-		a.reachUntil.Set(now + core.CoverWait)
+	if now := bootclock.Now(); a.links.RecordNeed(now, &spec, &p) && a.links.IsOpen() {
+		a.reachUntil.Set(now + core.LinkWaitTimeout)
 		a.links.Reconcile(now)
 	}
 	a.reach(r)
@@ -43,13 +43,13 @@
 // Without the wait an owner's first jobs would be refused for want of a worker. Later
 // ones are not held: an agent that is not there by then is away.
 func (a *Agent) reach(r *shardRunner) {
-	if !a.links.Opened() {
+	if !a.links.IsOpen() {
 		klog.InfoS("The first job of an owner: the agents are linked", "shard", r.ID)
 		a.reachUntil.Set(bootclock.Now() + reachTimeout)
 		a.links.Open()
 	}
 	for bootclock.Now() < a.reachUntil.Get() {
-		if wanted, known := a.links.Reach(); known && r.ReachableAgents() >= wanted {
+		if wanted, known := a.links.NumWanted(); known && r.ReachableAgents() >= wanted {
 			return
 		}
 		_ = pause.For(context.Background(), reachPoll)
--- a/daemon/agent/shard.go
+++ b/daemon/agent/shard.go
@@ -37,7 +37,7 @@
 
 // shardRunner drives a shard whose jobs are recorded.
 type shardRunner struct {
-	*core.Steps
+	*core.ShardDriver
 	agent     *Agent
 	partition store.Partition
 	producer  store.Producer
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	now := bootclock.Now()
-	r.Steps = core.NewSteps(owner.New(now, id, epoch, core.OwnerBounds(a.settings), a.fleet, records, agents), a.links, a.metrics)
+	r.ShardDriver = core.NewShardDriver(owner.New(now, id, epoch, core.OwnerBounds(a.settings), a.fleet, records, agents), a.links, a.metrics)
 	klog.InfoS("Took a shard over", "shard", id, "epoch", epoch, "jobs", len(records), "agents", agents, "took", now-began)
 	a.metrics.Takeover.Observe((now - began).Seconds())
 	ctx, r.stop = context.WithCancel(ctx)
@@ -86,7 +86,7 @@
 // run writes what is due, one call at a time.
 func (r *shardRunner) run(ctx context.Context) {
 	defer close(r.done)
-	tick := time.NewTicker(core.TickEvery)
+	tick := time.NewTicker(core.TickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -225,7 +225,7 @@
 			return err
 		}
 		unknown = unknown || !errors.Is(err, store.ErrRejected)
-		r.agent.metrics.Repeats.Inc()
+		r.agent.metrics.StoreRepeats.Inc()
 		if took > badAfter {
 			r.stale.Store(true)
 			r.MarkStoreUnavailable()
--- a/daemon/entry/best_effort.go
+++ b/daemon/entry/best_effort.go
@@ -25,14 +25,14 @@
 func privateShard(shards int) int { return shards + 1 + rand.IntN(1<<30) }
 
 // newBestEffort returns the shard for the best-effort jobs of this incarnation.
-func (e *Entry) newBestEffort() *core.Steps {
+func (e *Entry) newBestEffort() *core.ShardDriver {
 	s := owner.NewPrivate(bootclock.Now(), privateShard(e.settings.Shards()), core.OwnerBounds(e.settings), e.fleet)
-	return core.NewSteps(s, e.links, e.metrics)
+	return core.NewShardDriver(s, e.links, e.metrics)
 }
 
 // tickLoop runs the time-dependent steps of the private shard until ctx ends.
 func (e *Entry) tickLoop(ctx context.Context) {
-	t := time.NewTicker(core.TickEvery)
+	t := time.NewTicker(core.TickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -76,11 +76,11 @@
 // otherwise be refused although a backend server with its label is idle.
 func (e *Entry) linkCapableAgents(ctx context.Context, spec *job.Spec, p *job.Policy) {
 	now := bootclock.Now()
-	if !e.links.Need(now, spec, p) {
+	if !e.links.RecordNeed(now, spec, p) {
 		return
 	}
 	e.links.Reconcile(now)
-	for end := now + core.CoverWait; !(e.links.Settled() && e.hasCapableAgents(spec, p)) && bootclock.Now() < end && ctx.Err() == nil; {
+	for end := now + core.LinkWaitTimeout; !(e.links.AllWantedUp() && e.hasCapableAgents(spec, p)) && bootclock.Now() < end && ctx.Err() == nil; {
 		_ = pause.For(ctx, linkPollInterval)
 	}
 }
--- a/daemon/entry/buckets.go
+++ b/daemon/entry/buckets.go
@@ -97,8 +97,8 @@
 func (b *buckets) join(ctx context.Context, generation int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, core.StoreTimeout)
 	defer cancel()
-	series := core.Series{Prefix: "entries", Topics: bucketTopics, Parts: b.settings.Store.Partitions}
-	m, err := b.store.Join(ctx, EntriesGroup, b.settings.Name, series.Names(), max(bucketsTTL, b.settings.Store.MinTTL), generation)
+	series := core.PartitionSeries{Prefix: "entries", Topics: bucketTopics, PartitionsPerTopic: b.settings.Store.Partitions}
+	m, err := b.store.Join(ctx, EntriesGroup, b.settings.Name, series.TopicNames(), max(bucketsTTL, b.settings.Store.MinTTL), generation)
 	if err != nil {
 		return generation, err
 	}
--- a/daemon/entry/drains.go
+++ b/daemon/entry/drains.go
@@ -28,9 +28,9 @@
 // drains to all linked agents.
 func (e *Entry) applyDrains(s drains.State) {
 	e.fleet.SetDrained(s)
-	e.links.Drain(s)
+	e.links.SetDrained(s)
 	e.links.SendAll(func(*corepb.ToAgent) {})
-	known, read := e.links.Domains()
+	known, read := e.links.AgentsPerDomain()
 	for _, domain := range s.Domains {
 		if read && known[domain] == 0 {
 			klog.InfoS("A drained failure domain has no agents", "domain", domain)
@@ -43,9 +43,9 @@
 
 // Domains returns the number of registered agents in each failure domain.
 func (e *Entry) Domains() map[string]int {
-	known, _ := e.links.Domains()
+	known, _ := e.links.AgentsPerDomain()
 	return known
 }
 
 // LinkComplete implements peer.LinkHandler. It adds the known drains to every frame.
-func (e *Entry) LinkComplete(f *corepb.ToAgent) { f.Drains = e.drains.Frame() }
+func (e *Entry) LinkComplete(f *corepb.ToAgent) { f.Drains = e.drains.ToWire() }
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -48,7 +48,7 @@
 type Entry struct {
 	settings *settings.Settings
 	store    store.Store
-	metrics  *core.CoreMetrics
+	metrics  *core.Metrics
 	links    *core.LinkSet
 	// decode reads a version of the configuration from a record. It returns nil for
 	// records of other kinds.
@@ -57,7 +57,7 @@
 	table  atomic.Pointer[routing.Table]
 	fleet  *owner.Fleet
 	// bestEffort is the private shard with the best-effort jobs of this incarnation.
-	bestEffort *core.Steps
+	bestEffort *core.ShardDriver
 	owners     *ownerCache
 	buckets    *buckets
 	drains     *core.DrainWatch
@@ -67,7 +67,7 @@
 // the configuration, and decode reads its records.
 func New(s *settings.Settings, st store.Store, config store.Partition, decode func(store.Record) (*routing.Table, error), drains core.DrainSource) *Entry {
 	e := &Entry{
-		settings: s, store: st, metrics: core.NewCoreMetrics(),
+		settings: s, store: st, metrics: core.NewMetrics(),
 		config: config, decode: decode, owners: newOwnerCache(s, st), buckets: newBuckets(s, st),
 		fleet: owner.NewFleet(s.Bounds.RemoteFactor, owner.DefaultParams()),
 	}
@@ -77,7 +77,7 @@
 	// of a later incarnation.
 	dialer := peer.NewDialer(core.MemberName(s.Name, xid.New().String()), e)
 	e.links = core.NewLinkSet(s.Links, e, e.fleet, e.metrics, func(node string, reg core.Registration) core.AgentLink {
-		return dialer.Dial(context.Background(), node, reg.Links)
+		return dialer.Dial(context.Background(), node, reg.LinkAddr)
 	})
 	e.bestEffort = e.newBestEffort()
 	e.metrics.WatchFleet(e.fleet)
@@ -94,7 +94,7 @@
 	}
 	joinAttempted := make(chan struct{})
 	wg.Go(func() { e.buckets.run(ctx, sync.OnceFunc(func() { close(joinAttempted) })) })
-	wg.Go(func() { e.links.Follow(ctx, e.store) })
+	wg.Go(func() { e.links.FollowRegistry(ctx, e.store) })
 	wg.Go(func() {
 		select {
 		case <-joinAttempted:
@@ -115,7 +115,7 @@
 func (e *Entry) Required() []string { return e.owners.inUse(bootclock.Now()) }
 
 // Occupied implements linkUser.
-func (e *Entry) Occupied(node string) bool { return e.bestEffort.MayHaveRunsAt(node) }
+func (e *Entry) MayHaveRunsAt(node string) bool { return e.bestEffort.MayHaveRunsAt(node) }
 
 // applyConfig puts a version of the configuration into force unless it or a newer one
 // already is: a reader that starts over may read older versions again.
@@ -155,7 +155,7 @@
 // Capacities returns the capacities of the known backend servers of a service: as last
 // reported by linked agents, and as registered for all others.
 func (e *Entry) Capacities(service string) []job.Demand {
-	offers := e.links.Offers(service)
+	offers := e.links.RegisteredCapacities(service)
 	for _, a := range e.fleet.Agents() {
 		delete(offers, a.Node)
 		if a.Load.Service == service {
@@ -183,15 +183,15 @@
 
 // LinkFrame implements peer.LinkHandler.
 func (e *Entry) LinkFrame(node string, _ int64, f *corepb.FromAgent) {
-	e.drains.Told(f.GetDrains())
+	e.drains.Merge(f.GetDrains())
 	if l := f.GetLoad(); l != nil {
 		e.fleet.Update(bootclock.Now(), node, wire.LoadFromWire(l))
 	}
 	for _, p := range f.GetClaimed() {
-		e.bestEffort.TakeClaimed(node, p)
+		e.bestEffort.HandleClaimed(node, p)
 	}
 	for _, p := range f.GetEvents() {
-		e.bestEffort.TakeEvent(node, p)
+		e.bestEffort.HandleEvent(node, p)
 	}
 	e.owners.update(node, f)
 	e.bestEffort.PlaceWaiting()
--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -102,7 +102,7 @@
 func (a *fakeAgent) useWorker() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.worker = worker.New(worker.Bounds{Lease: time.Second, OwnerSilence: core.OwnerSilence, Relink: core.Relink, Adoption: core.Adoption, Shards: coretest.Shards})
+	a.worker = worker.New(worker.Bounds{Lease: time.Second, OwnerTimeout: core.OwnerSilenceTimeout, ReconnectTimeout: core.RelinkTimeout, AdoptionTimeout: core.AdoptionTimeout, Shards: coretest.Shards})
 }
 
 // breakLink ends the link on which the next frame arrives.
@@ -159,7 +159,7 @@
 // newTestEntry returns an entry with a link to each agent. All links are up.
 func newTestEntry(t *testing.T, agents ...*fakeAgent) *Entry {
 	t.Helper()
-	e := New(coretest.Settings(), coretest.NoStore{}, store.Partition{Topic: "config"}, nil, core.DrainSource{})
+	e := New(coretest.Settings(), coretest.RejectingStore{}, store.Partition{Topic: "config"}, nil, core.DrainSource{})
 	t.Cleanup(e.links.Close)
 	e.links.Open()
 	for _, a := range agents {
@@ -229,7 +229,7 @@
 // the store's log is trimmed and the reader starts over.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	is := is.New(t)
-	e := New(coretest.Settings(), coretest.NoStore{}, store.Partition{}, decodeVersion, core.DrainSource{})
+	e := New(coretest.Settings(), coretest.RejectingStore{}, store.Partition{}, decodeVersion, core.DrainSource{})
 	for _, v := range []string{"3", "5", "4"} {
 		e.applyConfig(store.Record{Value: []byte(v)})
 	}
