--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -23,22 +23,23 @@
 	"github.com/shallotstep/shallotstep/transport/peer"
 )
 
-// fakeAgent takes links, and notes what it is told.
+// fakeAgent accepts links and records the orders and stops that it receives.
 type fakeAgent struct {
 	server *peer.Server
 	addr   string
-	// silent agents answer no claim.
+	// silent is set if the agent answers no claims.
 	silent bool
 
 	mu     sync.Mutex
 	orders []*corepb.Order // guarded by mu
 	stops  []*corepb.Stop  // guarded by mu
-	// books answer claims as an agent does; nil: each claim is granted. Guarded by mu.
-	books *worker.Worker
-	// links counts the links that were made, and broken is set to end the next one on
-	// which a frame comes. Guarded by mu.
-	links  int
-	broken bool
+	// worker answers claims as in an agent. If it is nil, each claim is granted. Guarded
+	// by mu.
+	worker *worker.Worker
+	// links counts the links that were established. breakNext is set to end the next link
+	// on which a frame arrives. Guarded by mu.
+	links     int
+	breakNext bool
 }
 
 func startFakeAgent(t *testing.T) *fakeAgent {
@@ -69,8 +70,8 @@
 	a.mu.Lock()
 	a.orders = append(a.orders, f.GetOrders()...)
 	a.stops = append(a.stops, f.GetStops()...)
-	broken := a.broken
-	a.broken = false
+	broken := a.breakNext
+	a.breakNext = false
 	a.mu.Unlock()
 	if broken {
 		return errors.New("broken")
@@ -78,41 +79,41 @@
 	c.Send(func(out *corepb.FromAgent) {
 		for _, p := range f.GetClaims() {
 			if !a.silent {
-				out.Claimed = append(out.Claimed, a.answer(c, p))
+				out.Claimed = append(out.Claimed, a.answerClaim(c, p))
 			}
 		}
 	})
 	return nil
 }
 
-// answer is that to a claim.
-func (a *fakeAgent) answer(c *peer.Caller, p *corepb.Claim) *corepb.Claimed {
+// answerClaim returns the answer to a claim.
+func (a *fakeAgent) answerClaim(c *peer.Caller, p *corepb.Claim) *corepb.Claimed {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.books == nil {
+	if a.worker == nil {
 		return &corepb.Claimed{Shard: p.GetShard(), Epoch: p.GetEpoch(), Session: p.GetSession()}
 	}
 	claim := worker.Claim{Shard: int(p.GetShard()), Epoch: p.GetEpoch(), Session: p.GetSession(), Owner: c.Node}
-	answer := a.books.Claim(bootclock.Now(), claim)
+	answer := a.worker.Claim(bootclock.Now(), claim)
 	return wire.ClaimedToWire(&answer)
 }
 
-// keepBooks has claims answered as an agent does.
-func (a *fakeAgent) keepBooks() {
+// useWorker makes the agent answer claims by a worker.Worker, as a real agent does.
+func (a *fakeAgent) useWorker() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.books = worker.New(worker.Bounds{Lease: time.Second, OwnerTimeout: core.OwnerSilenceTimeout, ReconnectTimeout: core.RelinkTimeout, AdoptionTimeout: core.AdoptionTimeout, Shards: coretest.Shards})
+	a.worker = worker.New(worker.Bounds{Lease: time.Second, OwnerTimeout: core.OwnerSilenceTimeout, ReconnectTimeout: core.RelinkTimeout, AdoptionTimeout: core.AdoptionTimeout, Shards: coretest.Shards})
 }
 
-// breakLink ends the link on which the next frame comes.
+// breakLink ends the link on which the next frame arrives.
 func (a *fakeAgent) breakLink() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.broken = true
+	a.breakNext = true
 }
 
-// linked counts the links that were made.
-func (a *fakeAgent) linked() int {
+// linkCount returns the number of links that were established.
+func (a *fakeAgent) linkCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.links
@@ -122,13 +123,13 @@
 	f.Load = &corepb.Load{Service: "desk", CapacityCpu: 1000, FreeCpu: 1000, Accepts: true}
 }
 
-func (a *fakeAgent) ordered() int {
+func (a *fakeAgent) orderCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.orders)
 }
 
-func (a *fakeAgent) stopped() int {
+func (a *fakeAgent) stopCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.stops)
@@ -141,7 +142,7 @@
 	a.links++
 }
 
-// notOwner answers questions about shards.
+// notOwner is the verdict on requests for shards, of which the agent owns none.
 var notOwner = owner.Response{Outcome: owner.NotOwner, Reason: owner.ReasonOwnerChanged}
 
 func (a *fakeAgent) Submit(_ int, _ job.ID, _ job.Spec, _ job.Policy, reply func(owner.Response)) {
@@ -155,7 +156,7 @@
 
 func (a *fakeAgent) Pending(string) owner.Response { return owner.Response{} }
 
-// newTestEntry returns an entry with a link to each agent, all up.
+// newTestEntry returns an entry with a link to each agent. All links are up.
 func newTestEntry(t *testing.T, agents ...*fakeAgent) *Entry {
 	t.Helper()
 	e := New(coretest.Settings(), coretest.RejectingStore{}, store.Partition{Topic: "config"}, nil, core.DrainSource{})
@@ -172,25 +173,24 @@
 
 const testJob job.ID = "00000000000000aa"
 
-func effortSpec() *job.Spec {
+func bestEffortSpec() *job.Spec {
 	return &job.Spec{BestEffort: true, Steps: []job.Step{{Count: 1, Demand: job.Demand{CPUMillis: 100}}}}
 }
 
-// The client of a best-effort job leaves, or its time limit passes. Its run is
-// stopped, since nobody waits for the result, and since the client may send the
-// job again to another entry, which knows nothing of this run. The answer leaves
-// the fate open.
+// The client of a best-effort job disconnects, or its time limit passes. The run must be
+// stopped: no client waits for the result, and the client may resubmit the job to another
+// entry, which doesn't know of this run. The outcome of the job is unknown.
 func TestClientThatLeavesHasItsRunsStopped(t *testing.T) {
 	is := is.New(t)
 	a := startFakeAgent(t)
 	e := newTestEntry(t, a)
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	got := make(chan owner.Response)
 	policy := &job.Policy{Service: "desk"}
 	go func() {
 		var v owner.Response
 		for {
-			v = e.Submit(ctx, testJob, effortSpec(), policy)
+			v = e.Submit(ctx, testJob, bestEffortSpec(), policy)
 			if v.Reason != owner.ReasonNoWorker {
 				break
 			}
@@ -198,34 +198,35 @@
 		}
 		got <- v
 	}()
-	coretest.Await(t, func() bool { return a.ordered() == 1 })
-	leave()
+	coretest.Await(t, func() bool { return a.orderCount() == 1 })
+	disconnect()
 	is.Equal((<-got).Outcome, owner.Unknown)
-	coretest.Await(t, func() bool { return a.stopped() == 1 })
+	coretest.Await(t, func() bool { return a.stopCount() == 1 })
 }
 
-// No agent has answered the entry's claim yet. Nothing was ordered, so the
-// refusal is true.
-func TestNoAgentRefusesABestEffortJob(t *testing.T) {
+// No agent has answered the entry's claim yet. Nothing was ordered, so the job certainly never
+// runs and is refused.
+func TestBestEffortJobIsRefusedWithoutAgents(t *testing.T) {
 	is := is.New(t)
 	a := startFakeAgent(t)
 	a.silent = true
 	e := newTestEntry(t, a)
-	v := e.Submit(context.Background(), testJob, effortSpec(), &job.Policy{Service: "desk"})
+	v := e.Submit(context.Background(), testJob, bestEffortSpec(), &job.Policy{Service: "desk"})
 	is.Equal(v.Outcome, owner.Refused)
-	is.Equal(a.ordered(), 0)
+	is.Equal(a.orderCount(), 0)
 }
 
-// No owner is known for a recorded job: nothing was sent, so it never runs.
-func TestNoOwnerRefusesTheJob(t *testing.T) {
+// No owner is known for a recorded job. No request was sent, so the job certainly never runs
+// and is refused.
+func TestJobIsRefusedWithoutOwner(t *testing.T) {
 	is := is.New(t)
 	e := newTestEntry(t)
 	v := e.Submit(context.Background(), testJob, &job.Spec{}, &job.Policy{})
 	is.Equal(v.Outcome, owner.Refused)
 }
 
-// An older configuration comes after a newer one, from a store whose history
-// was dropped and read anew: it must not come into force again.
+// Guards against putting an older configuration into force after a newer one. It arrives when
+// the store's log is trimmed and the reader starts over.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	is := is.New(t)
 	e := New(coretest.Settings(), coretest.RejectingStore{}, store.Partition{}, decodeVersion, core.DrainSource{})
@@ -235,7 +236,7 @@
 	is.Equal(e.Table().Version, int64(5))
 }
 
-// decodeVersion reads a version from one digit.
+// decodeVersion returns a configuration whose version is the digit in the record.
 func decodeVersion(r store.Record) (*routing.Table, error) {
 	return &routing.Table{Version: int64(r.Value[0] - '0')}, nil
 }
--- a/daemon/entry/relink_test.go
+++ b/daemon/entry/relink_test.go
@@ -13,40 +13,39 @@
 	"github.com/shallotstep/shallotstep/state/routing"
 )
 
-// All best-effort jobs of an entry, the only one of its failure domain, are answered
-// owner_changed from some second on until it is restarted, while it says it is ready.
-// One of its links was lost and made anew, then ended since it was not wanted any more,
-// and dialled again later.
+// Guards against an entry that answers every best-effort job with owner_changed until it is
+// restarted, although it reports ready. The failure came about when a link was lost and
+// established again, then closed because it was no longer needed, and dialled again later.
 func TestEntryServesAfterALinkIsDialledAgain(t *testing.T) {
 	is := is.New(t)
 	a := startFakeAgent(t)
-	a.keepBooks()
+	a.useWorker()
 	e := newTestEntry(t, a)
 	policy := &job.Policy{Service: "desk"}
-	coretest.Await(t, func() bool { return e.effort.ReachableAgents() == 1 })
+	coretest.Await(t, func() bool { return e.bestEffort.ReachableAgents() == 1 })
 
 	a.breakLink()
-	coretest.Await(t, func() bool { return a.linked() == 2 })
-	coretest.Await(t, func() bool { return e.effort.ReachableAgents() == 1 })
+	coretest.Await(t, func() bool { return a.linkCount() == 2 })
+	coretest.Await(t, func() bool { return e.bestEffort.ReachableAgents() == 1 })
 
 	e.links.Drop(a.addr)
-	e.effort.Step(func(now time.Duration) owner.Effects { return e.effort.Tick(now + time.Minute) }) // it is waited out
+	e.bestEffort.Step(func(now time.Duration) owner.Effects { return e.bestEffort.Tick(now + time.Minute) }) // the lost link times out
 	e.links.Reconcile(time.Hour)
-	coretest.Await(t, func() bool { return a.linked() == 3 })
+	coretest.Await(t, func() bool { return a.linkCount() == 3 })
 
 	e.table.Store(&routing.Table{})
 	coretest.Await(t, e.Ready)
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	got := make(chan owner.Response, 1)
-	go func() { got <- e.submitEffort(ctx, testJob, effortSpec(), policy) }()
-	coretest.Await(t, func() bool { return a.ordered() == 1 || len(got) > 0 })
-	leave()
-	is.Equal((<-got).Reason, owner.ReasonTimeLimit) // not that the owner has changed
-	is.Equal(a.ordered(), 1)
+	go func() { got <- e.submitBestEffort(ctx, testJob, bestEffortSpec(), policy) }()
+	coretest.Await(t, func() bool { return a.orderCount() == 1 || len(got) > 0 })
+	disconnect()
+	is.Equal((<-got).Reason, owner.ReasonTimeLimit) // not owner_changed
+	is.Equal(a.orderCount(), 1)
 }
 
-// An entry has links, and no agent has answered a claim on one: whatever comes is refused.
-// It must not say that it is ready, since others would serve its clients.
+// An entry has links, but no agent has answered a claim on any of them, so it refuses every
+// job. It must not report ready, because other entries could serve its clients.
 func TestEntryThatReachesNobodyIsNotReady(t *testing.T) {
 	is := is.New(t)
 	a := startFakeAgent(t)
