--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -31,7 +31,7 @@
 )
 
 // Executor is the backend server beside an agent.
-type Executor interface {
+type BackendClient interface {
 	Start(ctx context.Context, c worker.StartCall) (worker.StartOutcome, string)
 	Stop(ctx context.Context, c worker.StopCall) bool
 	Hold(ctx context.Context, c worker.HoldCall, wait time.Duration) (worker.Holding, error)
@@ -43,48 +43,48 @@
 	store    store.Store
 	metrics  *core.CoreMetrics
 	// newExecutor returns a client for this life of the agent.
-	newExecutor func(fence int64) Executor
-	member      string
-	started     time.Duration
+	newBackendClient func(fence int64) BackendClient
+	member           string
+	started          time.Duration
 
-	worker   *worker.Worker
-	fleet    *owner.Fleet
-	links    *core.LinkSet
-	executor Executor
-	server   *peer.Server
+	worker  *worker.Worker
+	fleet   *owner.Fleet
+	links   *core.LinkSet
+	backend BackendClient
+	server  *peer.Server
 	// confirmed is the boot time in ns of the last join that succeeded.
-	confirmed core.AtomicDuration
+	joinedAt core.AtomicDuration
 	// enrolled is set once this life has a number; no call goes to the backend
 	// server before.
-	enrolled atomic.Bool
+	serving atomic.Bool
 	// reachUntil is until when jobs wait for the links of an owner's first one.
-	reachUntil core.AtomicDuration
+	linkWaitUntil core.AtomicDuration
 	// drains is what is known of drained failure domains.
 	drains *core.DrainWatch
 	// looking is set while the agent looks for drains in the store, and lookedAt is when it
 	// began to last.
-	looking  atomic.Bool
-	lookedAt core.AtomicDuration
+	readingDrains atomic.Bool
+	drainsReadAt  core.AtomicDuration
 	// placers is the number of callers that place work here.
 	placers atomic.Int32
 	// orders counts the orders that came from all of them.
 	orders atomic.Int64
 	// placed has whose orders this agent has taken.
-	placed *placersLog
+	recentPlacers *recentPlacers
 	// unclaimed is set while links came up whose agents were not claimed.
-	unclaimed atomic.Bool
+	claimsPending atomic.Bool
 	// marked is set once it is written down that owners of recorded jobs claim here,
 	// and orphaned while ends wait for them.
-	marked, orphaned atomic.Bool
+	markerStored, hasOrphans atomic.Bool
 	// registered is what the registry has of this agent; nil: nothing is known of it.
 	registered atomic.Pointer[core.Registration]
 	// offerNews is signalled when what the registry says of this agent may have changed.
-	offerNews chan struct{}
+	offerUpdates chan struct{}
 	// owns is closed with the first shard: before it there is nothing to link others for.
-	owns     chan struct{}
-	ownsOnce sync.Once
+	firstShard     chan struct{}
+	firstShardOnce sync.Once
 	// marking is held while that is being written.
-	marking sync.Mutex
+	markerMu sync.Mutex
 
 	mu sync.Mutex
 	// All fields below are guarded by mu.
@@ -92,11 +92,11 @@
 	shards  map[int]*shardRunner
 	opening map[int]bool
 	// callers has the link of each shard's owner, for news of its runs.
-	callers map[int]*peer.Caller
+	shardCallers map[int]*peer.Caller
 	// all has what each caller was told.
-	all   map[*peer.Caller]*news
-	up    map[string]int64
-	drain bool
+	callerStates map[*peer.Caller]*callerState
+	linkSessions map[string]int64
+	drainStarted bool
 	// ownedAt is when shards were last owned here, or opened.
 	ownedAt time.Duration
 	// epochs are those under which shards were opened.
@@ -104,24 +104,24 @@
 }
 
 // New returns an agent that does nothing yet.
-func New(s *settings.Settings, st store.Store, drains core.DrainSource, newExecutor func(fence int64) Executor) *Agent {
+func New(s *settings.Settings, st store.Store, drains core.DrainSource, newBackendClient func(fence int64) BackendClient) *Agent {
 	a := &Agent{
-		settings: s, store: st, newExecutor: newExecutor, metrics: core.NewCoreMetrics(),
+		settings: s, store: st, newBackendClient: newBackendClient, metrics: core.NewCoreMetrics(),
 		member: core.MemberName(s.Name, xid.New().String()), started: bootclock.Now(),
-		worker:  worker.New(worker.Bounds{Lease: s.Bounds.Lease, OwnerSilence: core.OwnerSilence, Relink: core.Relink, Adoption: core.Adoption, Shards: s.Shards()}),
-		placed:  newPlacersLog(),
-		fleet:   owner.NewFleet(s.Bounds.RemoteFactor, owner.DefaultParams()),
-		shards:  make(map[int]*shardRunner),
-		opening: make(map[int]bool),
-		callers: make(map[int]*peer.Caller),
-		all:     make(map[*peer.Caller]*news),
-		up:      make(map[string]int64),
+		worker:        worker.New(worker.Bounds{Lease: s.Bounds.Lease, OwnerSilence: core.OwnerSilence, Relink: core.Relink, Adoption: core.Adoption, Shards: s.Shards()}),
+		recentPlacers: newRecentPlacers(),
+		fleet:         owner.NewFleet(s.Bounds.RemoteFactor, owner.DefaultParams()),
+		shards:        make(map[int]*shardRunner),
+		opening:       make(map[int]bool),
+		shardCallers:  make(map[int]*peer.Caller),
+		callerStates:  make(map[*peer.Caller]*callerState),
+		linkSessions:  make(map[string]int64),
 	}
-	a.offerNews, a.owns = make(chan struct{}, 1), make(chan struct{})
+	a.offerUpdates, a.firstShard = make(chan struct{}, 1), make(chan struct{})
 	a.drains = core.NewDrainWatch(drains, a.drainsChanged)
 	a.metrics.WatchDrains(a.drains)
 	a.server = peer.NewServer(a)
-	watchWorker(a.metrics, a.worker)
+	registerWorkerMetrics(a.metrics, a.worker)
 	a.metrics.WatchFleet(a.fleet)
 	return a
 }
@@ -140,20 +140,20 @@
 		}
 	})
 	defer a.server.Stop()
-	noted := make(chan earlier, 1)
-	wg.Go(func() { noted <- a.takeNotes(ctx) })
-	life := a.enrol(ctx)
-	var before earlier
+	restored := make(chan storedState, 1)
+	wg.Go(func() { restored <- a.restoreNotes(ctx) })
+	incarnation := a.startIncarnation(ctx)
+	var stored storedState
 	select {
-	case before = <-noted:
-	case <-time.After(notesWait):
+	case stored = <-restored:
+	case <-time.After(notesTimeout):
 		klog.InfoS("The notes of earlier lives are not there yet")
 	}
 	if ctx.Err() != nil {
 		return nil
 	}
-	a.executor = a.newExecutor(life)
-	a.resume(ctx, before.Server)
+	a.backend = a.newBackendClient(incarnation)
+	a.resume(ctx, stored.Server)
 	// The name is that of this life: an agent takes the signs of life of a later one for
 	// another owner's, and stops what this one left.
 	dialer := peer.NewDialer(a.member, a)
@@ -161,10 +161,10 @@
 		return dialer.Dial(ctx, node, reg.Links)
 	})
 	// From here on frames of others are taken in.
-	a.enrolled.Store(true)
-	klog.InfoS("The agent serves", "name", a.settings.Name, "life", life, "member", a.member)
+	a.serving.Store(true)
+	klog.InfoS("The agent serves", "name", a.settings.Name, "life", incarnation, "member", a.member)
 	wg.Go(func() { a.holdLoop(ctx) })
-	wg.Go(func() { a.keepRegistered(ctx) })
+	wg.Go(func() { a.maintainRegistration(ctx) })
 	wg.Go(func() { a.tickLoop(ctx) })
 	// Only owners link others, and there are as many of them as shards at most. Read by
 	// each of a hundred agents, each record of the registry is read a hundred times.
@@ -172,12 +172,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-a.owns:
+		case <-a.firstShard:
 		}
 		wg.Go(func() { a.links.Maintain(ctx) })
 		a.links.Follow(ctx, a.store)
 	})
-	wg.Go(func() { a.memberLoop(ctx, before.Member) })
+	wg.Go(func() { a.membershipLoop(ctx, stored.Member) })
 	<-ctx.Done()
 	a.links.Close()
 	a.release(nil)
@@ -193,18 +193,18 @@
 		go a.stop(fx.Stops[i])
 	}
 	for i := range fx.Events {
-		a.tell(&fx.Events[i])
+		a.sendEvent(&fx.Events[i])
 	}
 }
 
 // tell passes news of a run to its owner.
-func (a *Agent) tell(e *worker.Event) {
+func (a *Agent) sendEvent(e *worker.Event) {
 	if e.State.Reason != "" {
 		klog.InfoS("Run", "id", e.State.Run.Task.Job, "step", e.State.Run.Task.Step, "task", e.State.Run.Task.Index, "run", e.State.Run.Number,
 			"status", e.State.Status, "end", e.State.End, "reason", e.State.Reason)
 	}
 	a.mu.Lock()
-	c := a.callers[e.Shard]
+	c := a.shardCallers[e.Shard]
 	a.mu.Unlock()
 	if c == nil {
 		return
@@ -223,14 +223,14 @@
 func (a *Agent) draining() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.drain
+	return a.drainStarted
 }
 
 // Drain ends the agent as planned: it hands its shards on, starts nothing new,
 // and waits until what runs beside it has ended and was recorded.
 func (a *Agent) Drain(ctx context.Context) {
 	a.mu.Lock()
-	a.drain = true
+	a.drainStarted = true
 	a.mu.Unlock()
 	klog.InfoS("The agent drains")
 	a.leave(ctx)
@@ -252,7 +252,7 @@
 }
 
 // owned returns the shards that are open here.
-func (a *Agent) owned() []*shardRunner {
+func (a *Agent) ownedShards() []*shardRunner {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := make([]*shardRunner, 0, len(a.shards))
@@ -276,7 +276,7 @@
 // the shard, and ends that only owners can settle wait for one.
 func (a *Agent) Required() []string {
 	out := a.links.WithOrphans()
-	for _, r := range a.owned() {
+	for _, r := range a.ownedShards() {
 		out = append(out, r.UnreconciledAgents()...)
 	}
 	return out
@@ -284,7 +284,7 @@
 
 // Occupied implements linkUser.
 func (a *Agent) Occupied(node string) bool {
-	return slices.ContainsFunc(a.owned(), func(r *shardRunner) bool { return r.Shard.MayHaveRunsAt(node) })
+	return slices.ContainsFunc(a.ownedShards(), func(r *shardRunner) bool { return r.Shard.MayHaveRunsAt(node) })
 }
 
 // Metrics serves the agent's metrics.
--- a/daemon/agent/executor.go
+++ b/daemon/agent/backend.go
@@ -21,13 +21,13 @@
 	holdWait = 60 * time.Millisecond
 	// hurryWait is the same while a start is in doubt: its task waits for the
 	// list that shows the run, or that it is barred.
-	hurryWait = 5 * time.Millisecond
+	doubtfulWait = 5 * time.Millisecond
 	// idleWait is the same while nothing runs; nothing needs its lease then.
 	idleWait = time.Second
 	// knownPause spaces holds while the backend server lists ends that wait for
 	// their record, up to 0.7 s. It answers at once then: without a pause the
 	// agent asked 300 times a second. An end is noticed that much later at most.
-	knownPause = 10 * time.Millisecond
+	knownEndsPause = 10 * time.Millisecond
 	// lossyWait stands for holdWait while answers are missing: a lost answer hides
 	// ends for 40 ms then instead of 80. Jobs of eight tasks that may take 150 ms in
 	// all are late otherwise as soon as one of their ends is hidden. Each lost answer
@@ -35,24 +35,24 @@
 	lossyWait = 20 * time.Millisecond
 	// holdRetry is the pause before a hold is repeated that failed at once, and
 	// maxHoldRetry the longest: a backend server that is back is found that much later.
-	holdRetry    = 15 * time.Millisecond
-	maxHoldRetry = 200 * time.Millisecond
+	minHoldBackoff = 15 * time.Millisecond
+	maxHoldBackoff = 200 * time.Millisecond
 	// unknownWait is the pause while no backend server has reported.
-	unknownWait = 20 * time.Millisecond
+	noServerPause = 20 * time.Millisecond
 )
 
 // holdLoop keeps the lease and takes in what has ended.
 func (a *Agent) holdLoop(ctx context.Context) {
 	lost := false
-	failures := pause.Backoff{Least: holdRetry, Most: maxHoldRetry}
+	failures := pause.Backoff{Least: minHoldBackoff, Most: maxHoldBackoff}
 	for ctx.Err() == nil {
 		c, ok := a.worker.Hold(bootclock.Now())
 		if !ok {
-			_ = pause.For(ctx, unknownWait)
+			_ = pause.For(ctx, noServerPause)
 			continue
 		}
 		if c.Known {
-			_ = pause.For(ctx, knownPause)
+			_ = pause.For(ctx, knownEndsPause)
 		}
 		began := bootclock.Now()
 		err := a.holdOnce(ctx, c)
@@ -80,13 +80,13 @@
 	case c.First:
 		wait = 0
 	case c.Hurry:
-		wait = hurryWait
+		wait = doubtfulWait
 	case c.Idle:
 		wait = idleWait
 	}
 	call, cancel := context.WithTimeout(ctx, wait+c.Patience)
 	defer cancel()
-	h, err := a.executor.Hold(call, c, wait)
+	h, err := a.backend.Hold(call, c, wait)
 	if err != nil {
 		a.apply(a.worker.HoldFailed(bootclock.Now(), c, holdFailure(err)))
 		return err
@@ -109,11 +109,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), c.Patience)
 	defer cancel()
 	began := bootclock.Now()
-	outcome, reason := a.executor.Start(ctx, c)
+	outcome, reason := a.backend.Start(ctx, c)
 	now := bootclock.Now()
 	a.metrics.Start.Observe((now - began).Seconds())
 	if outcome != worker.StartOK {
-		a.metrics.StartRefusals.WithLabelValues(startReason(outcome, reason)).Inc()
+		a.metrics.StartRefusals.WithLabelValues(startRefusalLabel(outcome, reason)).Inc()
 		klog.InfoS("Start not confirmed", "id", c.Run.Task.Job, "step", c.Run.Task.Step, "task", c.Run.Task.Index, "run", c.Run.Number, "instance", c.Instance, "reason", reason)
 	}
 	a.apply(a.worker.StartAnswered(now, c.Instance, c.Run, outcome, reason))
@@ -121,7 +121,7 @@
 
 // startReason keeps the label's values few: an unanswered start carries the
 // text of an error.
-func startReason(o worker.StartOutcome, reason string) string {
+func startRefusalLabel(o worker.StartOutcome, reason string) string {
 	if o == worker.StartUnknown {
 		return "no_answer"
 	}
@@ -131,7 +131,7 @@
 func (a *Agent) stop(c worker.StopCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	answered := a.executor.Stop(ctx, c)
+	answered := a.backend.Stop(ctx, c)
 	klog.InfoS("Stop", "id", c.Run.Task.Job, "step", c.Run.Task.Step, "task", c.Run.Task.Index, "run", c.Run.Number, "answered", answered)
 	a.apply(a.worker.StopAnswered(bootclock.Now(), c.Instance, c.Run, answered))
 }
@@ -139,7 +139,7 @@
 func (a *Agent) tickLoop(ctx context.Context) {
 	t := time.NewTicker(core.TickEvery)
 	defer t.Stop()
-	reported := bootclock.Now()
+	loggedAt := bootclock.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -147,12 +147,12 @@
 		case <-t.C:
 			now := bootclock.Now()
 			a.apply(a.worker.Tick(now))
-			a.spreadLoad(now)
-			a.keepNotes(ctx, now)
+			a.sendChangedLoad(now)
+			a.maintainNotes(ctx, now)
 			a.checkDrains(ctx, now)
-			if now-reported >= loadReportEvery {
-				reported = now
-				a.reportLoad()
+			if now-loggedAt >= loadLogInterval {
+				loggedAt = now
+				a.logLoad()
 			}
 		}
 	}
@@ -160,9 +160,9 @@
 
 // loadReportEvery is the pace of the log line that tells how full the backend
 // server is; between two of them other lines tell of each change.
-const loadReportEvery = 2 * time.Second
+const loadLogInterval = 2 * time.Second
 
-func (a *Agent) reportLoad() {
+func (a *Agent) logLoad() {
 	l := a.worker.Load(bootclock.Now())
 	klog.InfoS("Load", "instance", l.Server.Instance, "accepts", l.Accepts, "free", l.Free.CPUMillis, "of", l.Server.Capacity.CPUMillis,
 		"running", l.Running, "waiting", l.Waiting, "backlog", l.Backlog.Milliseconds(), "unsettled", l.Unsettled, "holds", l.Holds)
--- a/daemon/agent/executor_test.go
+++ b/daemon/agent/backend_test.go
@@ -16,19 +16,19 @@
 	"github.com/shallotstep/shallotstep/transport/bootclock"
 )
 
-// resetting is a backend server that resets each connection at once.
-type resetting struct{ holds, stops atomic.Int64 }
+// resettingServer is a backend server that resets each connection at once.
+type resettingServer struct{ holds, stops atomic.Int64 }
 
 var errReset = errors.New("connection reset by peer")
 
-func (r *resetting) Start(context.Context, worker.StartCall) (worker.StartOutcome, string) {
+func (r *resettingServer) Start(context.Context, worker.StartCall) (worker.StartOutcome, string) {
 	return worker.StartUnknown, "reset"
 }
-func (r *resetting) Stop(context.Context, worker.StopCall) bool {
+func (r *resettingServer) Stop(context.Context, worker.StopCall) bool {
 	r.stops.Add(1)
 	return false
 }
-func (r *resetting) Hold(context.Context, worker.HoldCall, time.Duration) (worker.Holding, error) {
+func (r *resettingServer) Hold(context.Context, worker.HoldCall, time.Duration) (worker.Holding, error) {
 	r.holds.Add(1)
 	return worker.Holding{}, errReset
 }
@@ -40,8 +40,8 @@
 func TestCallsThatFailAtOnceAreSpaced(t *testing.T) {
 	is := is.New(t)
 	a := New(coretest.Settings(), coretest.NoStore{}, core.DrainSource{}, nil)
-	server := &resetting{}
-	a.executor = server
+	server := &resettingServer{}
+	a.backend = server
 	a.worker.Report(bootclock.Now(), worker.Server{Instance: "i", Service: "desk", Capacity: job.Demand{CPUMillis: 1000}}, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
 	defer cancel()
--- a/daemon/agent/drains.go
+++ b/daemon/agent/drains.go
@@ -14,9 +14,9 @@
 const (
 	// drainsStale is the age from which on an agent looks into the store itself. Entries
 	// hear from it each 0.6 s.
-	drainsStale = 2 * time.Second
+	maxDrainsAge = 2 * time.Second
 	// drainsRetry is the pause between two looks of an agent.
-	drainsRetry = time.Second
+	drainsReadInterval = time.Second
 )
 
 // drainsChanged has nothing newly started beside this agent if its failure domain is
@@ -25,8 +25,8 @@
 	a.fleet.SetDrained(s)
 	a.links.Drain(s)
 	a.apply(a.worker.DrainDomain(bootclock.Now(), s.Has(a.settings.Domain)))
-	for c := range a.everyCaller() {
-		c.Send(nothing)
+	for c := range a.snapshotCallers() {
+		c.Send(emptyFrame)
 	}
 	a.links.SendAll(func(*corepb.ToAgent) {})
 }
@@ -34,15 +34,15 @@
 // checkDrains looks into the store if the callers have not heard from it for long. Those of a
 // process that has just started may only have started too.
 func (a *Agent) checkDrains(ctx context.Context, now time.Duration) {
-	if min(a.drains.Age(now), now-a.started) < drainsStale || now-a.lookedAt.Get() < drainsRetry || len(a.everyCaller()) == 0 {
+	if min(a.drains.Age(now), now-a.started) < maxDrainsAge || now-a.drainsReadAt.Get() < drainsReadInterval || len(a.snapshotCallers()) == 0 {
 		return
 	}
-	if a.looking.Swap(true) {
+	if a.readingDrains.Swap(true) {
 		return
 	}
-	a.lookedAt.Set(now)
+	a.drainsReadAt.Set(now)
 	go func() {
-		defer a.looking.Store(false)
+		defer a.readingDrains.Store(false)
 		err := a.drains.Look(ctx, a.store)
 		klog.InfoS("Looked for drains in the store, since those who place work here have not lately", "err", err)
 	}()
--- a/daemon/agent/drains_test.go
+++ b/daemon/agent/drains_test.go
@@ -35,20 +35,20 @@
 	}
 	a := New(set, st, core.DrainSource{Partition: store.Partition{Topic: "drains"}, Decode: decode}, nil)
 	a.links, _ = fakeLinks(a, a.fleet)
-	a.all[peer.NewCaller("entry")] = &news{}
+	a.callerStates[peer.NewCaller("entry")] = &callerState{}
 	return a
 }
 
 // Guards against a read of the whole partition by each agent when all power is back, since
 // the entries that started beside them have not been answered yet; and against an agent
 // that never looks.
-func TestAgentThatHasJustStartedLeavesItsCallersTime(t *testing.T) {
+func TestNewAgentWaitsForItsCallersDrains(t *testing.T) {
 	is := is.New(t)
 	st := &drainStore{}
 	a := newDrainAgent(st)
-	a.checkDrains(t.Context(), a.started+drainsStale-time.Millisecond)
+	a.checkDrains(t.Context(), a.started+maxDrainsAge-time.Millisecond)
 	is.Equal(st.reads.Load(), int32(0))
-	a.checkDrains(t.Context(), a.started+drainsStale)
+	a.checkDrains(t.Context(), a.started+maxDrainsAge)
 	coretest.Await(t, func() bool { return a.worker.Load(a.started).Drained })
 	is.Equal(st.reads.Load(), int32(1))
 }
@@ -58,8 +58,8 @@
 	is := is.New(t)
 	st := &drainStore{}
 	a := newDrainAgent(st)
-	clear(a.all)
+	clear(a.callerStates)
 	a.checkDrains(t.Context(), a.started+time.Hour)
 	is.Equal(st.reads.Load(), int32(0))
-	is.True(!a.looking.Load())
+	is.True(!a.readingDrains.Load())
 }
--- a/daemon/agent/epochs.go
+++ b/daemon/agent/epochs.go
@@ -16,15 +16,15 @@
 // next returns the epoch for opening a shard in a generation.
 func (e *epochs) next(shard int, generation int64) int64 {
 	n := max(e.last[shard]+1, generation*epochsPerGeneration)
-	e.note(shard, n)
+	e.set(shard, n)
 	return n
 }
 
 // fenced notes that the store has a higher epoch than the last one handed out:
 // its writer had used its generation's room up. The next is of a generation on.
-func (e *epochs) fenced(shard int) { e.note(shard, e.last[shard]+epochsPerGeneration) }
+func (e *epochs) fenced(shard int) { e.set(shard, e.last[shard]+epochsPerGeneration) }
 
-func (e *epochs) note(shard int, n int64) {
+func (e *epochs) set(shard int, n int64) {
 	if e.last == nil {
 		e.last = make(map[int]int64)
 	}
--- a/daemon/agent/epochs_test.go
+++ b/daemon/agent/epochs_test.go
@@ -27,7 +27,7 @@
 
 // The earlier owner of a shard had used up its generation's epochs, so that the
 // next owner's first one is lower and fenced. It must get past it by itself.
-func TestFencedOpenerGetsPast(t *testing.T) {
+func TestFencedOwnerReachesAHigherEpoch(t *testing.T) {
 	is := is.New(t)
 	var earlier, e epochs
 	held := int64(0)
--- a/daemon/agent/links_test.go
+++ b/daemon/agent/links_test.go
@@ -43,7 +43,7 @@
 // A system of 59 processes whose agents each keep a link to each other spends more
 // on signs of life than on work, and its entries' jobs come late: on a site of that
 // size all of a busy day's did. Only 16 agents own a shard; the others link nobody.
-func TestAgentWithoutShardsLinksNobody(t *testing.T) {
+func TestAgentWithoutShardsKeepsNoLinks(t *testing.T) {
 	is := is.New(t)
 	a := New(&settings.Settings{Role: settings.RoleAgent, Name: "a", Store: settings.Store{Topics: 1, Partitions: 4}}, coretest.NoStore{}, core.DrainSource{}, nil)
 	links, all := fakeLinks(a, a.fleet)
@@ -57,10 +57,10 @@
 	is.Equal(slices.Sorted(maps.Keys(all)), []string{"b", "c"})
 
 	now := time.Hour
-	a.keepLinks(now)
+	a.manageLinks(now)
 	delete(a.shards, 1)
-	a.keepLinks(now + linkLinger) // the shares may be dealt anew
+	a.manageLinks(now + idleLinkTimeout) // the shares may be dealt anew
 	is.Equal(len(all), 2)
-	a.keepLinks(now + linkLinger + 1)
+	a.manageLinks(now + idleLinkTimeout + 1)
 	is.Equal(len(all), 0)
 }
--- a/daemon/agent/membership.go
+++ b/daemon/agent/membership.go
@@ -18,14 +18,14 @@
 // confirmedOwner reports whether the store has confirmed this agent's share
 // recently enough that nobody else can have been given it, unless all shares
 // were dealt anew.
-func (a *Agent) confirmedOwner() bool {
-	return bootclock.Now()-a.confirmed.Get() < a.ttl()
+func (a *Agent) ownershipConfirmed() bool {
+	return bootclock.Now()-a.joinedAt.Get() < a.membershipTTL()
 }
 
-func (a *Agent) ttl() time.Duration { return max(core.GroupTTL, a.settings.Store.MinTTL) }
+func (a *Agent) membershipTTL() time.Duration { return max(core.GroupTTL, a.settings.Store.MinTTL) }
 
 // memberLoop stays in the group and opens and closes shards as it deals them.
-func (a *Agent) memberLoop(ctx context.Context, previous string) {
+func (a *Agent) membershipLoop(ctx context.Context, previous string) {
 	if previous != "" {
 		// The earlier life of this agent would keep its share until it lapses.
 		call, cancel := context.WithTimeout(ctx, core.StoreTimeout)
@@ -50,12 +50,12 @@
 			lost = err != nil
 			if err == nil {
 				generation = next
-			} else if bootclock.Now()-a.confirmed.Get() > core.RenewLimit {
+			} else if bootclock.Now()-a.joinedAt.Get() > core.RenewLimit {
 				// The next owner waits this long for agents it can't reach.
 				a.release(nil)
 			}
 		}
-		a.keepLinks(bootclock.Now())
+		a.manageLinks(bootclock.Now())
 		select {
 		case <-ctx.Done():
 			return
@@ -67,14 +67,14 @@
 // linkLinger is how long links are kept after the last shard has gone: shares are
 // often dealt anew several times in a row, and new links cost both sides about a
 // millisecond each.
-const linkLinger = 10 * time.Second
+const idleLinkTimeout = 10 * time.Second
 
 // keepLinks ends the links to the other agents when this one has owned no shards for a
 // while: it has nothing to say to them. They are made for a shard that has jobs, or may
 // have runs somewhere, and with the first job that is submitted: with a link from each
 // owner to each agent, signs of life alone take more than the work. Owners also link
 // agents when one has ends that only they can settle.
-func (a *Agent) keepLinks(now time.Duration) {
+func (a *Agent) manageLinks(now time.Duration) {
 	a.mu.Lock()
 	if len(a.shards)+len(a.opening) > 0 {
 		a.ownedAt = now
@@ -82,7 +82,7 @@
 	idle := now - a.ownedAt
 	a.mu.Unlock()
 	switch {
-	case idle > linkLinger:
+	case idle > idleLinkTimeout:
 		a.links.Close()
 	case idle == 0 && a.links.Needed():
 		a.links.Open()
@@ -97,11 +97,11 @@
 	defer cancel()
 	sent := bootclock.Now()
 	shards := core.ShardSeries(a.settings)
-	m, err := a.store.Join(call, core.OwnersGroup, a.member, shards.Names(), a.ttl(), generation)
+	m, err := a.store.Join(call, core.OwnersGroup, a.member, shards.Names(), a.membershipTTL(), generation)
 	if err != nil {
 		return generation, err
 	}
-	a.confirmed.Set(sent)
+	a.joinedAt.Set(sent)
 	if m.Generation != generation {
 		klog.InfoS("The group has changed", "generation", m.Generation, "shards", len(m.Partitions))
 	}
@@ -112,8 +112,8 @@
 		}
 	}
 	a.release(mine)
-	if a.unclaimed.Swap(false) {
-		for _, r := range a.owned() {
+	if a.claimsPending.Swap(false) {
+		for _, r := range a.ownedShards() {
 			a.claimEverywhere(r)
 		}
 	}
@@ -141,26 +141,26 @@
 		klog.InfoS("Released a shard", "shard", r.ID, "epoch", r.Epoch)
 	}
 	if len(gone) > 0 {
-		a.announce()
+		a.announceOwnership()
 	}
 }
 
 // linked returns the sessions of the links to agents that are up.
-func (a *Agent) linked() map[string]int64 {
+func (a *Agent) linkedAgents() map[string]int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return maps.Clone(a.up)
+	return maps.Clone(a.linkSessions)
 }
 
 // acquire opens a shard in the background unless that is under way.
 func (a *Agent) acquire(ctx context.Context, id int, generation int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.shards[id] != nil || a.opening[id] || a.drain {
+	if a.shards[id] != nil || a.opening[id] || a.drainStarted {
 		return
 	}
 	a.opening[id] = true
-	a.ownsOnce.Do(func() { close(a.owns) })
+	a.firstShardOnce.Do(func() { close(a.firstShard) })
 	epoch := a.epochs.next(id, generation)
 	go func() {
 		r, err := a.openShard(ctx, id, epoch)
@@ -183,13 +183,13 @@
 		// Those that the shard's list names are linked at once: its jobs wait for them.
 		a.links.Reconcile(bootclock.Now())
 		a.claimEverywhere(r)
-		a.announce()
+		a.announceOwnership()
 	}()
 }
 
 // claimEverywhere claims a shard at all agents that are linked.
 func (a *Agent) claimEverywhere(r *shardRunner) {
-	for node, session := range a.linked() {
+	for node, session := range a.linkedAgents() {
 		claims := r.LinkUp(node, session)
 		if len(claims) > 0 {
 			a.links.Send(node, func(f *corepb.ToAgent) { f.Claims = append(f.Claims, claims...) })
@@ -199,9 +199,9 @@
 
 // leave gives all shards back.
 func (a *Agent) leave(ctx context.Context) {
-	for _, r := range a.owned() {
+	for _, r := range a.ownedShards() {
 		// What was accepted is in the store; what is on its way gets there.
-		for i := 0; i < drainWrites && ctx.Err() == nil && r.HasRecordWaiters(); i++ {
+		for i := 0; i < drainAttempts && ctx.Err() == nil && r.HasRecordWaiters(); i++ {
 			r.Signal()
 			_ = pause.For(ctx, drainPause)
 		}
@@ -216,6 +216,6 @@
 
 const (
 	// drainWrites times drainPause bounds the wait for records on their way.
-	drainWrites = 20
-	drainPause  = 5 * time.Millisecond
+	drainAttempts = 20
+	drainPause    = 5 * time.Millisecond
 )
--- a/daemon/agent/metrics.go
+++ b/daemon/agent/metrics.go
@@ -8,7 +8,7 @@
 )
 
 // watchWorker registers the counters of an agent's books.
-func watchWorker(m *core.CoreMetrics, w *worker.Worker) {
+func registerWorkerMetrics(m *core.CoreMetrics, w *worker.Worker) {
 	for _, c := range []struct {
 		name, help string
 		value      func(worker.Stats) int64
--- a/daemon/agent/notes.go
+++ b/daemon/agent/notes.go
@@ -35,7 +35,7 @@
 // what a read takes. Without them runs of earlier lives wait for their owners as long as
 // an agent without notes has them wait, and the backend server is known with its next
 // report only.
-const notesWait = 100 * time.Millisecond
+const notesTimeout = 100 * time.Millisecond
 
 // notes are an agent's, under its name as key.
 type notes struct {
@@ -46,13 +46,13 @@
 	// Server is the backend server that the agent saw last. The agent's next life goes
 	// on with it at once, if the same instance answers, instead of waiting for its next
 	// report.
-	Server *knownServer `json:"server,omitempty"`
+	Server *storedServer `json:"server,omitempty"`
 	// Registered is what the registry has of the agent.
 	Registered *core.Registration `json:"registered,omitempty"`
 }
 
 // knownServer is what an agent remembers of its backend server.
-type knownServer struct {
+type storedServer struct {
 	Instance string     `json:"instance"`
 	Service  string     `json:"service"`
 	Labels   []string   `json:"labels"`
@@ -65,48 +65,48 @@
 // usable reports whether a remembered backend server has all that is needed of one. One
 // whose capacity varies has not: it may have shrunk since it was written down, and what
 // this life started by it would not fit. Its next report is waited for.
-func (s *knownServer) usable() bool {
+func (s *storedServer) usable() bool {
 	return s != nil && !s.Varies && s.Instance != "" && s.Service != "" && s.Capacity.CPUMillis > 0
 }
 
 // lifeKey is the key of the record that begins a life: its offset numbers the life. It is
 // no part of the notes, which are read while it is written.
-func lifeKey(name string) string { return lifePrefix + name }
+func incarnationKey(name string) string { return incarnationPrefix + name }
 
-const lifePrefix = "\x00life/"
+const incarnationPrefix = "\x00life/"
 
 // markKey is the key of an agent's mark: an owner of recorded jobs may have claimed
 // there. It is a record of its own, which is never taken back; notes that were on their
 // way would otherwise overwrite it.
-func markKey(name string) string { return markPrefix + name }
+func markerKey(name string) string { return markerPrefix + name }
 
 // markPrefix begins with a byte that no agent's name has.
-const markPrefix = "\x00recorded/"
+const markerPrefix = "\x00recorded/"
 
 // earlier is what an agent's earlier lives have written down.
-type earlier struct {
+type storedState struct {
 	notes
 	// noted is set where there were notes, and recorded where there was the mark.
-	noted, recorded bool
+	hasNotes, hasMarker bool
 }
 
 // effortOnly reports whether all runs of the earlier lives are of best-effort jobs.
-func (e *earlier) effortOnly() bool { return e.noted && !e.recorded }
+func (e *storedState) bestEffortOnly() bool { return e.hasNotes && !e.hasMarker }
 
 // readNotes returns what an agent's earlier lives have written down.
-func (a *Agent) readNotes(ctx context.Context) (earlier, error) {
+func (a *Agent) readNotes(ctx context.Context) (storedState, error) {
 	ctx, cancel := context.WithTimeout(ctx, core.StoreTimeout)
 	defer cancel()
 	name := a.settings.Name
 	records, _, err := a.store.Newest(ctx, a.notesPartition())
 	if err != nil {
-		return earlier{}, errors.Wrap(err, "notes")
+		return storedState{}, errors.Wrap(err, "notes")
 	}
-	var out earlier
+	var out storedState
 	for _, r := range records {
 		switch {
-		case r.Key == markKey(name):
-			out.recorded = true
+		case r.Key == markerKey(name):
+			out.hasMarker = true
 		case r.Key == name && r.Value != nil:
 			var n notes
 			if err := json.Unmarshal(r.Value, &n); err != nil {
@@ -114,7 +114,7 @@
 				klog.ErrorS(err, "The notes of an earlier life are malformed")
 				continue
 			}
-			out.notes, out.noted = n, true
+			out.notes, out.hasNotes = n, true
 		}
 	}
 	return out, nil
@@ -122,23 +122,23 @@
 
 // writeNotes writes down what the next life is to know.
 func (a *Agent) writeNotes(ctx context.Context) {
-	n := notes{Owners: a.placed.owners(), Member: a.member, Registered: a.registered.Load()}
+	n := notes{Owners: a.recentPlacers.owners(), Member: a.member, Registered: a.registered.Load()}
 	if s, ok := a.worker.Server(); ok {
-		n.Server = known(s, a.worker.Varies())
+		n.Server = newStoredServer(s, a.worker.Varies())
 	}
 	b, err := json.Marshal(&n)
 	if err != nil {
 		klog.ErrorS(err, "Notes can't be encoded")
 		return
 	}
-	if _, err := a.note(ctx, a.settings.Name, b); err != nil {
+	if _, err := a.appendNote(ctx, a.settings.Name, b); err != nil {
 		klog.InfoS("The notes for the next life could not be written; it waits longer", "err", err)
-		a.placed.again()
+		a.recentPlacers.markDirty()
 	}
 }
 
 // note writes a record for the next life and returns its offset.
-func (a *Agent) note(ctx context.Context, key string, value []byte) (int64, error) {
+func (a *Agent) appendNote(ctx context.Context, key string, value []byte) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, core.StoreTimeout)
 	defer cancel()
 	return a.store.Append(ctx, a.notesPartition(), nil, []store.Record{{Key: key, Value: value}})
@@ -147,16 +147,16 @@
 // mark writes down that owners of recorded jobs claim here, and returns once it is.
 // Without it the next life would take runs of recorded jobs for best-effort ones, and
 // acknowledge ends that nobody has recorded.
-func (a *Agent) mark() {
-	a.marking.Lock()
-	defer a.marking.Unlock()
-	if a.marked.Load() {
+func (a *Agent) storeMarker() {
+	a.markerMu.Lock()
+	defer a.markerMu.Unlock()
+	if a.markerStored.Load() {
 		return
 	}
 	ctx := context.Background()
 	core.UntilDone(ctx, "That recorded jobs may run here could not be written down; their owner waits", func() error {
-		_, err := a.note(ctx, markKey(a.settings.Name), []byte(a.member))
+		_, err := a.appendNote(ctx, markerKey(a.settings.Name), []byte(a.member))
 		return err
 	})
-	a.marked.Store(true)
+	a.markerStored.Store(true)
 }
--- a/daemon/agent/placers_test.go
+++ b/daemon/agent/placers_test.go
@@ -12,28 +12,28 @@
 // the agent's next life would take the new one's runs for those of an entry that is gone.
 func TestLateNotesDoNotReplaceWhatIsNewer(t *testing.T) {
 	is := is.New(t)
-	l := newPlacersLog()
-	l.note(time.Hour, "entry-1/new")
-	l.carryOver(time.Hour, []string{"entry-1/old", "entry-2/old"})
+	l := newRecentPlacers()
+	l.record(time.Hour, "entry-1/new")
+	l.restore(time.Hour, []string{"entry-1/old", "entry-2/old"})
 	is.Equal(l.owners(), []string{"entry-1/new", "entry-2/old"})
 }
 
 // An entry places tasks on an agent a hundred times a second. That is written down once.
 func TestNotesAreWrittenWhenTheyChange(t *testing.T) {
 	is := is.New(t)
-	l := newPlacersLog()
+	l := newRecentPlacers()
 	now := time.Hour
-	l.note(now, "entry-1/a")
-	is.True(l.due(now))
+	l.record(now, "entry-1/a")
+	is.True(l.writeDue(now))
 	for range 100 {
 		now += 10 * time.Millisecond
-		l.note(now, "entry-1/a")
-		is.True(!l.due(now))
+		l.record(now, "entry-1/a")
+		is.True(!l.writeDue(now))
 	}
-	l.note(now, "entry-1/b")
-	is.True(l.due(now))
+	l.record(now, "entry-1/b")
+	is.True(l.writeDue(now))
 	// One that has placed nothing for long is left out of the next notes.
-	l.note(now+2*placersMemory, "entry-2/a")
-	is.True(l.due(now + 2*placersMemory))
+	l.record(now+2*placerRetention, "entry-2/a")
+	is.True(l.writeDue(now + 2*placerRetention))
 	is.Equal(l.owners(), []string{"entry-2/a"})
 }
--- a/daemon/agent/enrol_test.go
+++ b/daemon/agent/registration_test.go
@@ -48,7 +48,7 @@
 		a := New(&settings.Settings{Role: settings.RoleAgent, Name: "a", Store: settings.Store{Topics: 1, Partitions: coretest.Shards}}, st, core.DrainSource{}, nil)
 		ctx, cancel := context.WithCancel(t.Context())
 		var done sync.WaitGroup
-		done.Go(func() { a.keepRegistered(ctx) })
+		done.Go(func() { a.maintainRegistration(ctx) })
 		const reports = 50
 		for i := range reports {
 			a.apply(a.worker.Report(time.Hour, worker.Server{
@@ -59,9 +59,9 @@
 			if i == 0 {
 				is.Equal(len(st.written), 1)
 			}
-			time.Sleep(offerPause / 10)
+			time.Sleep(registrationInterval / 10)
 		}
-		time.Sleep(2 * offerPause)
+		time.Sleep(2 * registrationInterval)
 		synctest.Wait()
 		cancel()
 		done.Wait()
--- a/daemon/agent/questions.go
+++ b/daemon/agent/requests.go
@@ -14,45 +14,45 @@
 )
 
 // verdictNotOwner answers questions about shards of other agents.
-var verdictNotOwner = owner.Response{Outcome: owner.NotOwner, Reason: owner.ReasonOwnerChanged}
+var responseNotOwner = owner.Response{Outcome: owner.NotOwner, Reason: owner.ReasonOwnerChanged}
 
 // Submit implements peer.AgentHandler.
 func (a *Agent) Submit(shard int, id job.ID, spec job.Spec, p job.Policy, reply func(owner.Response)) {
 	r := a.shard(shard)
-	if r == nil || !a.confirmedOwner() {
-		reply(verdictNotOwner)
+	if r == nil || !a.ownershipConfirmed() {
+		reply(responseNotOwner)
 		return
 	}
 	if now := bootclock.Now(); a.links.Need(now, &spec, &p) && a.links.Opened() {
-		a.reachUntil.Set(now + core.CoverWait)
+		a.linkWaitUntil.Set(now + core.CoverWait)
 		a.links.Reconcile(now)
 	}
-	a.reach(r)
+	a.awaitLinks(r)
 	r.Step(func(now time.Duration) owner.Effects { return r.Shard.Submit(now, id, spec, p, reply) })
 }
 
 const (
 	// reachTimeout bounds the wait for the links of an owner's first job: a dial, a
 	// claim and the record of whom it has claimed take 50 ms, on a slow host 200.
-	reachTimeout = 400 * time.Millisecond
+	linkWaitTimeout = 400 * time.Millisecond
 	// reachPoll is the pace at which it is looked whether they are there.
-	reachPoll = 5 * time.Millisecond
+	linkPollInterval = 5 * time.Millisecond
 )
 
 // reach links the other agents, if they are not, and waits until orders may go to them.
 // Without the wait an owner's first jobs would be refused for want of a worker. Later
 // ones are not held: an agent that is not there by then is away.
-func (a *Agent) reach(r *shardRunner) {
+func (a *Agent) awaitLinks(r *shardRunner) {
 	if !a.links.Opened() {
 		klog.InfoS("The first job of an owner: the agents are linked", "shard", r.ID)
-		a.reachUntil.Set(bootclock.Now() + reachTimeout)
+		a.linkWaitUntil.Set(bootclock.Now() + linkWaitTimeout)
 		a.links.Open()
 	}
-	for bootclock.Now() < a.reachUntil.Get() {
+	for bootclock.Now() < a.linkWaitUntil.Get() {
 		if wanted, known := a.links.Reach(); known && r.ReachableAgents() >= wanted {
 			return
 		}
-		_ = pause.For(context.Background(), reachPoll)
+		_ = pause.For(context.Background(), linkPollInterval)
 	}
 }
 
@@ -60,21 +60,21 @@
 func (a *Agent) Lookup(shard int, id job.ID) owner.Response {
 	r := a.shard(shard)
 	if r == nil {
-		return verdictNotOwner
+		return responseNotOwner
 	}
-	v := r.Shard.Lookup(id)
-	if v.Outcome == owner.Absent && !a.confirmedOwner() {
+	resp := r.Shard.Lookup(id)
+	if resp.Outcome == owner.Absent && !a.ownershipConfirmed() {
 		// A newer owner may know the job.
-		return verdictNotOwner
+		return responseNotOwner
 	}
-	return v
+	return resp
 }
 
 // Cancel implements peer.AgentHandler.
 func (a *Agent) Cancel(shard int, id job.ID, reply func(owner.Response)) {
 	r := a.shard(shard)
-	if r == nil || !a.confirmedOwner() {
-		reply(verdictNotOwner)
+	if r == nil || !a.ownershipConfirmed() {
+		reply(responseNotOwner)
 		return
 	}
 	r.Step(func(now time.Duration) owner.Effects { return r.Shard.Cancel(now, id, reply) })
@@ -83,8 +83,8 @@
 // Await implements peer.AgentHandler.
 func (a *Agent) Await(shard int, id job.ID, reply func(owner.Response)) {
 	r := a.shard(shard)
-	if r == nil || !a.confirmedOwner() {
-		reply(verdictNotOwner)
+	if r == nil || !a.ownershipConfirmed() {
+		reply(responseNotOwner)
 		return
 	}
 	r.Step(func(time.Duration) owner.Effects { return r.Shard.Await(id, reply) })
@@ -92,9 +92,9 @@
 
 // Pending implements peer.AgentHandler.
 func (a *Agent) Pending(queue string) owner.Response {
-	v := owner.Response{}
-	for _, r := range a.owned() {
-		v.Count += r.Shard.Pending(queue)
+	resp := owner.Response{}
+	for _, r := range a.ownedShards() {
+		resp.Count += r.Shard.Pending(queue)
 	}
-	return v
+	return resp
 }
--- a/daemon/agent/serve.go
+++ b/daemon/agent/serve.go
@@ -18,15 +18,15 @@
 
 // Ready implements peer.AgentHandler.
 func (a *Agent) Ready() bool {
-	return a.enrolled.Load() && a.worker.Ready(bootclock.Now()-a.started)
+	return a.serving.Load() && a.worker.Ready(bootclock.Now()-a.started)
 }
 
 // CallerUp implements peer.AgentHandler.
 func (a *Agent) CallerUp(c *peer.Caller) {
 	a.mu.Lock()
-	a.all[c] = &news{}
+	a.callerStates[c] = &callerState{}
 	a.mu.Unlock()
-	c.Send(nothing)
+	c.Send(emptyFrame)
 }
 
 // CallerGone implements peer.AgentHandler.
@@ -34,10 +34,10 @@
 	a.worker.Unlinked(bootclock.Now(), c.Node)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	delete(a.all, c)
-	for shard, known := range a.callers {
+	delete(a.callerStates, c)
+	for shard, known := range a.shardCallers {
 		if known == c {
-			delete(a.callers, shard)
+			delete(a.shardCallers, shard)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	// Before the orders of the frame: its sender knew as much when it sent them.
 	a.drains.Told(f.GetDrains())
 	for _, p := range f.GetClaims() {
-		a.takeClaim(c, p)
+		a.handleClaim(c, p)
 	}
 	for _, shard := range f.GetReleases() {
 		a.worker.Release(int(shard), c.Node)
@@ -61,9 +61,9 @@
 		c.Orders.Add(1)
 		a.orders.Add(1)
 	}
-	if n := a.newsFor(c); n != nil && len(f.GetOrders()) > 0 {
-		n.ordered(now)
-		a.placed.note(now, c.Node)
+	if n := a.stateOf(c); n != nil && len(f.GetOrders()) > 0 {
+		n.recordOrder(now)
+		a.recentPlacers.record(now, c.Node)
 	}
 	for _, p := range f.GetStops() {
 		a.apply(a.worker.Stop(now, int(p.GetShard()), p.GetEpoch(), wire.RunFromWire(p.GetRun())))
@@ -76,59 +76,59 @@
 
 // takeClaim answers a claim. That of a recorded shard waits for what has to be written
 // down first; its owner sends no order before the answer.
-func (a *Agent) takeClaim(c *peer.Caller, p *corepb.Claim) {
-	if a.marked.Load() || int(p.GetShard()) >= a.settings.Shards() {
-		a.claim(bootclock.Now(), c, p)
+func (a *Agent) handleClaim(c *peer.Caller, p *corepb.Claim) {
+	if a.markerStored.Load() || int(p.GetShard()) >= a.settings.Shards() {
+		a.answerClaim(bootclock.Now(), c, p)
 		return
 	}
 	go func() {
-		a.mark()
-		a.claim(bootclock.Now(), c, p)
+		a.storeMarker()
+		a.answerClaim(bootclock.Now(), c, p)
 	}()
 }
 
-func (a *Agent) claim(now time.Duration, c *peer.Caller, p *corepb.Claim) {
+func (a *Agent) answerClaim(now time.Duration, c *peer.Caller, p *corepb.Claim) {
 	answer := a.worker.Claim(now, worker.Claim{Shard: int(p.GetShard()), Epoch: p.GetEpoch(), Session: p.GetSession(), Owner: c.Node})
 	a.apply(answer.Effects)
 	klog.InfoS("Claim", "shard", p.GetShard(), "epoch", p.GetEpoch(), "session", p.GetSession(), "owner", c.Node, "refused", answer.Refused, "known_epoch", answer.KnownEpoch, "runs", len(answer.Runs))
 	if !answer.Refused {
 		a.mu.Lock()
-		a.callers[int(p.GetShard())] = c
+		a.shardCallers[int(p.GetShard())] = c
 		a.mu.Unlock()
 	}
 	c.Send(func(f *corepb.FromAgent) { f.Claimed = append(f.Claimed, wire.ClaimedToWire(&answer)) })
 }
 
 // everyCaller returns a copy of the links that others have made.
-func (a *Agent) everyCaller() map[*peer.Caller]*news {
+func (a *Agent) snapshotCallers() map[*peer.Caller]*callerState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return maps.Clone(a.all)
+	return maps.Clone(a.callerStates)
 }
 
 // newsFor returns what a caller was told, or nil if its link has ended.
-func (a *Agent) newsFor(c *peer.Caller) *news {
+func (a *Agent) stateOf(c *peer.Caller) *callerState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.all[c]
+	return a.callerStates[c]
 }
 
 // LinkUp implements peer.LinkHandler.
 func (a *Agent) LinkUp(node string, session int64) *corepb.ToAgent {
 	a.mu.Lock()
-	a.up[node] = session
+	a.linkSessions[node] = session
 	a.mu.Unlock()
 	a.fleet.Linked(node)
 	out := &corepb.ToAgent{}
-	if !a.confirmedOwner() {
+	if !a.ownershipConfirmed() {
 		// An agent that has just started knows no epochs. An owner that the group
 		// has replaced must not be the first to claim there: it would settle ends
 		// and repeat orders that are its successor's. Once the store confirms the
 		// shards, the next join claims them.
-		a.unclaimed.Store(true)
+		a.claimsPending.Store(true)
 		return out
 	}
-	for _, r := range a.owned() {
+	for _, r := range a.ownedShards() {
 		out.Claims = append(out.Claims, r.LinkUp(node, session)...)
 	}
 	return out
@@ -137,10 +137,10 @@
 // LinkDown implements peer.LinkHandler.
 func (a *Agent) LinkDown(node string, session int64) {
 	a.mu.Lock()
-	delete(a.up, node)
+	delete(a.linkSessions, node)
 	a.mu.Unlock()
 	a.fleet.LinkLost(node)
-	for _, r := range a.owned() {
+	for _, r := range a.ownedShards() {
 		r.LinkDown(node, session)
 	}
 }
@@ -161,7 +161,7 @@
 			r.TakeEvent(node, p)
 		}
 	}
-	for _, r := range a.owned() {
+	for _, r := range a.ownedShards() {
 		r.PlaceWaiting()
 	}
 }
--- a/daemon/agent/shard.go
+++ b/daemon/agent/shard.go
@@ -25,14 +25,14 @@
 	agentsKey = "\x00agents"
 	// firstAttempt is the time that an append may take before it is repeated;
 	// usually it takes 5 ms. The time doubles with each repeat.
-	firstAttempt = 60 * time.Millisecond
+	firstAppendTimeout = 60 * time.Millisecond
 	// maxAttempt is the longest: a slow store answers within it.
-	maxAttempt = time.Second
+	maxAppendTimeout = time.Second
 	// badAfter is when a store without an answer counts as unavailable for new
 	// jobs: longer than one lost answer and its repeat take.
-	badAfter = 300 * time.Millisecond
+	unavailableAfter = 300 * time.Millisecond
 	// probePause is the pace at which an owner tries a store that rejects it.
-	probePause = 100 * time.Millisecond
+	probeInterval = 100 * time.Millisecond
 )
 
 // shardRunner drives a shard whose jobs are recorded.
@@ -45,9 +45,9 @@
 	done      chan struct{}
 	// spent is the time until which the allowance of writes is used up. Only
 	// the writer uses it.
-	spent time.Duration
+	nextWriteAt time.Duration
 	// stale is set while the store does not take writes.
-	stale atomic.Bool
+	storeUnavailable atomic.Bool
 }
 
 // openShard takes a shard over: it shuts earlier owners out, reads what the
@@ -62,7 +62,7 @@
 	if err := r.fence(ctx); err != nil {
 		return nil, err
 	}
-	records, agents, err := r.load(ctx)
+	records, agents, err := r.readRecords(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 			return
 		case <-r.Wake:
 		case <-tick.C:
-			r.SetOwnershipConfirmed(r.agent.confirmedOwner())
+			r.SetOwnershipConfirmed(r.agent.ownershipConfirmed())
 			r.Step(r.Shard.Tick)
 		}
 		for r.writeNext(ctx) {
@@ -108,12 +108,12 @@
 		return false
 	}
 	if !r.WriteDue(bootclock.Now()) {
-		if r.stale.Load() {
+		if r.storeUnavailable.Load() {
 			r.probe(ctx)
 		}
 		return false
 	}
-	r.allowance(ctx)
+	r.throttle(ctx)
 	b := r.NextBatch(bootclock.Now())
 	if b.Empty() {
 		return false
@@ -123,20 +123,20 @@
 		klog.ErrorS(err, "A record can't be written", "shard", r.ID)
 		// Its refusal has the shard take no new jobs until a write succeeds, and none
 		// may follow: the next call finds out that the store is well.
-		r.stale.Store(true)
+		r.storeUnavailable.Store(true)
 		r.Step(func(now time.Duration) owner.Effects { return r.Rejected(now, b, "encoding") })
 		return false
 	}
 	err = r.append(ctx, records)
 	switch {
 	case err == nil:
-		r.stale.Store(false)
+		r.storeUnavailable.Store(false)
 		r.Step(func(now time.Duration) owner.Effects { return r.Written(now, b) })
 		return true
 	case errors.Is(err, store.ErrRejected):
-		r.stale.Store(true)
+		r.storeUnavailable.Store(true)
 		r.Step(func(now time.Duration) owner.Effects { return r.Rejected(now, b, "store_rejected") })
-		_ = pause.For(ctx, probePause)
+		_ = pause.For(ctx, probeInterval)
 	default:
 		klog.InfoS("Gave a shard up", "shard", r.ID, "epoch", r.Epoch, "err", err)
 		r.Step(func(time.Duration) owner.Effects { return r.Close() })
@@ -146,24 +146,24 @@
 
 // probe finds out whether a store that rejected the last write takes writes.
 func (r *shardRunner) probe(ctx context.Context) {
-	_ = pause.For(ctx, probePause)
+	_ = pause.For(ctx, probeInterval)
 	if err := r.fence(ctx); err != nil {
 		return
 	}
-	r.stale.Store(false)
+	r.storeUnavailable.Store(false)
 	r.Step(func(now time.Duration) owner.Effects { return r.Written(now, owner.Batch{}) })
 }
 
 // allowance spaces calls so that all owners together stay below what the store
 // takes. A call that comes after a pause goes at once.
-func (r *shardRunner) allowance(ctx context.Context) {
-	every := time.Duration(float64(time.Second) * float64(r.agent.settings.Shards()) / (writeShare * r.agent.settings.Store.WritesPerSecond))
+func (r *shardRunner) throttle(ctx context.Context) {
+	interval := time.Duration(float64(time.Second) * float64(r.agent.settings.Shards()) / (writeShare * r.agent.settings.Store.WritesPerSecond))
 	now := bootclock.Now()
-	if wait := r.spent - now; wait > 0 {
+	if wait := r.nextWriteAt - now; wait > 0 {
 		_ = pause.For(ctx, wait)
 		now = bootclock.Now()
 	}
-	r.spent = max(r.spent, now-writeBurst*every) + every
+	r.nextWriteAt = max(r.nextWriteAt, now-writeBurst*interval) + interval
 }
 
 const (
@@ -205,10 +205,10 @@
 func (r *shardRunner) append(ctx context.Context, records []store.Record) error {
 	r.producer.Sequence++
 	began := bootclock.Now()
-	limit := firstAttempt
+	timeout := firstAppendTimeout
 	unknown := false
 	for {
-		attempt, cancel := context.WithTimeout(ctx, limit)
+		attempt, cancel := context.WithTimeout(ctx, timeout)
 		_, err := r.agent.store.Append(attempt, r.partition, &r.producer, records)
 		cancel()
 		took := bootclock.Now() - began
@@ -226,15 +226,15 @@
 		}
 		unknown = unknown || !errors.Is(err, store.ErrRejected)
 		r.agent.metrics.Repeats.Inc()
-		if took > badAfter {
-			r.stale.Store(true)
+		if took > unavailableAfter {
+			r.storeUnavailable.Store(true)
 			r.MarkStoreUnavailable()
 		}
 		klog.V(1).InfoS("A write is repeated", "shard", r.ID, "after", took, "err", err)
 		if errors.Is(err, store.ErrRejected) {
-			_ = pause.For(ctx, probePause)
+			_ = pause.For(ctx, probeInterval)
 		}
-		limit = min(2*limit, maxAttempt)
+		timeout = min(2*timeout, maxAppendTimeout)
 	}
 }
 
--- a/daemon/agent/load.go
+++ b/daemon/agent/shard_records.go
@@ -15,7 +15,7 @@
 
 // load reads what the store has of a shard: its jobs, and the agents that may have runs
 // of it.
-func (r *shardRunner) load(ctx context.Context) ([]*job.Record, []string, error) {
+func (r *shardRunner) readRecords(ctx context.Context) ([]*job.Record, []string, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*core.StoreTimeout)
 	defer cancel()
 	raw, _, err := r.agent.store.Newest(ctx, r.partition)
@@ -29,7 +29,7 @@
 			if err := json.Unmarshal(rec.Value, &agents); err != nil {
 				metrics.Malformed(metrics.KindAgents)
 				klog.ErrorS(err, "The agents of a shard can't be read; all that have ever registered are asked", "shard", r.partition)
-				if agents, err = r.everyAgent(ctx); err != nil {
+				if agents, err = r.registeredAgents(ctx); err != nil {
 					return nil, nil, err
 				}
 			}
@@ -47,7 +47,7 @@
 }
 
 // everyAgent names all agents that may have runs of any shard.
-func (r *shardRunner) everyAgent(ctx context.Context) ([]string, error) {
+func (r *shardRunner) registeredAgents(ctx context.Context) ([]string, error) {
 	registered, _, err := r.agent.store.Newest(ctx, core.RegistryPartition)
 	if err != nil {
 		return nil, errors.Wrap(err, "agents")
--- a/daemon/agent/shard_test.go
+++ b/daemon/agent/shard_test.go
@@ -17,10 +17,10 @@
 	"github.com/shallotstep/shallotstep/transport/bootclock"
 )
 
-// takingStore takes every write.
-type takingStore struct{ coretest.NoStore }
+// acceptingStore takes every write.
+type acceptingStore struct{ coretest.NoStore }
 
-func (takingStore) Append(context.Context, store.Partition, *store.Producer, []store.Record) (int64, error) {
+func (acceptingStore) Append(context.Context, store.Partition, *store.Producer, []store.Record) (int64, error) {
 	return 0, nil
 }
 
@@ -59,7 +59,7 @@
 // never found out otherwise.
 func TestRecordThatCannotBeEncodedRefusesNoOtherJob(t *testing.T) {
 	is := is.New(t)
-	r := newTestRunner(takingStore{})
+	r := newTestRunner(acceptingStore{})
 	is.Equal(r.submit("00000000000000a1", "fine").Outcome, owner.OK)
 	is.Equal(r.submit("00000000000000a2", "no text: \xff").Outcome, owner.Refused)
 	coretest.Await(t, func() bool { return r.submit("00000000000000a3", "fine").Outcome == owner.OK })
--- a/daemon/dev/agent.go
+++ b/daemon/dev/agent.go
@@ -58,7 +58,7 @@
 
 // Start runs the agent until Kill.
 func (a *Agent) Start() {
-	running := agent.New(a.settings, platform.NewStore(a.settings.Store.Address), a.drains, func(fence int64) agent.Executor {
+	running := agent.New(a.settings, platform.NewStore(a.settings.Store.Address), a.drains, func(fence int64) agent.BackendClient {
 		return platform.NewExecutor(a.settings.Server.Address, fence)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -146,7 +146,7 @@
 }
 
 func runAgent(ctx context.Context, cancel context.CancelFunc, s *settings.Settings, stop <-chan os.Signal) error {
-	a := agent.New(s, platform.NewStore(s.Store.Address), operatorDrains, func(fence int64) agent.Executor {
+	a := agent.New(s, platform.NewStore(s.Store.Address), operatorDrains, func(fence int64) agent.BackendClient {
 		return platform.NewExecutor(s.Server.Address, fence)
 	})
 	if _, err := serveHTTP(s.Listen.Reports, platform.NewReports(a)); err != nil {
