--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent is the process beside a backend server: the only one that calls it, and the
-// owner of some shards of the recorded jobs.
+// Package agent implements the agent: the process beside a backend server, which is the only one
+// that calls it. An agent also owns some of the shards of the recorded jobs.
 package agent
 
 import (
@@ -30,80 +30,86 @@
 	"github.com/shallotstep/shallotstep/transport/peer"
 )
 
-// Executor is the backend server beside an agent.
+// BackendClient calls the backend server beside an agent.
 type BackendClient interface {
 	Start(ctx context.Context, c worker.StartCall) (worker.StartOutcome, string)
 	Stop(ctx context.Context, c worker.StopCall) bool
 	Hold(ctx context.Context, c worker.HoldCall, wait time.Duration) (worker.Holding, error)
 }
 
-// Agent is the process beside one backend server.
+// Agent is the process beside one backend server. Its zero value is not usable; see New.
 type Agent struct {
 	settings *settings.Settings
 	store    store.Store
 	metrics  *core.CoreMetrics
-	// newExecutor returns a client for this life of the agent.
+	// newBackendClient returns a client for this incarnation of the agent.
 	newBackendClient func(fence int64) BackendClient
-	member           string
-	started          time.Duration
+	// member is the name of this incarnation in the owners' group and on links.
+	member string
+	// started is the time of New on the boot clock.
+	started time.Duration
 
 	worker  *worker.Worker
 	fleet   *owner.Fleet
 	links   *core.LinkSet
 	backend BackendClient
 	server  *peer.Server
-	// confirmed is the boot time in ns of the last join that succeeded.
+	// joinedAt is when the last successful join of the owners' group was sent.
 	joinedAt core.AtomicDuration
-	// enrolled is set once this life has a number; no call goes to the backend
-	// server before.
+	// serving is set once the incarnation number is known and backend and links are set. Before
+	// that, no link is accepted and reports don't make the agent call the backend server.
 	serving atomic.Bool
-	// reachUntil is until when jobs wait for the links of an owner's first one.
+	// linkWaitUntil is the time until which submitted jobs wait for links to agents.
 	linkWaitUntil core.AtomicDuration
-	// drains is what is known of drained failure domains.
+	// drains tracks the drained failure domains.
 	drains *core.DrainWatch
-	// looking is set while the agent looks for drains in the store, and lookedAt is when it
-	// began to last.
+	// readingDrains is set while the agent reads the drains in the store. drainsReadAt is when
+	// the last read began.
 	readingDrains atomic.Bool
 	drainsReadAt  core.AtomicDuration
-	// placers is the number of callers that place work here.
+	// placers is the number of callers that currently place work here.
 	placers atomic.Int32
-	// orders counts the orders that came from all of them.
+	// orders counts the orders received from all callers.
 	orders atomic.Int64
-	// placed has whose orders this agent has taken.
+	// recentPlacers records the owners whose orders this agent has received.
 	recentPlacers *recentPlacers
-	// unclaimed is set while links came up whose agents were not claimed.
+	// claimsPending is set when a link came up on which the owned shards were not claimed.
 	claimsPending atomic.Bool
-	// marked is set once it is written down that owners of recorded jobs claim here,
-	// and orphaned while ends wait for them.
+	// markerStored is set once the marker for recorded jobs is stored; see storeMarker.
+	// hasOrphans is set once ends have waited too long for the owners of their shards.
 	markerStored, hasOrphans atomic.Bool
-	// registered is what the registry has of this agent; nil: nothing is known of it.
+	// registered is this agent's registration in the registry, or nil while it is unknown.
 	registered atomic.Pointer[core.Registration]
-	// offerNews is signalled when what the registry says of this agent may have changed.
+	// offerUpdates is signalled when the registration of this agent may have changed.
 	offerUpdates chan struct{}
-	// owns is closed with the first shard: before it there is nothing to link others for.
+	// firstShard is closed when the agent gets its first shard. Before that it needs no links
+	// to other agents.
 	firstShard     chan struct{}
 	firstShardOnce sync.Once
-	// marking is held while that is being written.
+	// markerMu is held while the marker for recorded jobs is being stored.
 	markerMu sync.Mutex
 
 	mu sync.Mutex
 	// All fields below are guarded by mu.
 
-	shards  map[int]*shardRunner
+	shards map[int]*shardRunner
+	// opening has the shards that are being opened.
 	opening map[int]bool
-	// callers has the link of each shard's owner, for news of its runs.
+	// shardCallers has, by shard, the caller whose claim was accepted last. Events of the
+	// shard's runs go to it.
 	shardCallers map[int]*peer.Caller
-	// all has what each caller was told.
+	// callerStates has the state of each caller whose link is up.
 	callerStates map[*peer.Caller]*callerState
+	// linkSessions has the session of each link to another agent that is up.
 	linkSessions map[string]int64
 	drainStarted bool
-	// ownedAt is when shards were last owned here, or opened.
+	// ownedAt is when the agent last owned a shard or was opening one.
 	ownedAt time.Duration
-	// epochs are those under which shards were opened.
+	// epochs assigns the epochs under which shards are opened.
 	epochs epochs
 }
 
-// New returns an agent that does nothing yet.
+// New returns an agent that is not running; see Run.
 func New(s *settings.Settings, st store.Store, drains core.DrainSource, newBackendClient func(fence int64) BackendClient) *Agent {
 	a := &Agent{
 		settings: s, store: st, newBackendClient: newBackendClient, metrics: core.NewCoreMetrics(),
@@ -126,17 +132,17 @@
 	return a
 }
 
-// Run serves until the context ends.
+// Run runs the agent until the context ends. It returns an error if it can't listen for links.
 func (a *Agent) Run(ctx context.Context) error {
 	l, err := net.Listen("tcp", a.settings.Listen.Links)
 	if err != nil {
-		return errors.Wrap(err, "links")
+		return errors.Wrap(err, "listen for links")
 	}
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() {
 		if err := a.server.Serve(l); err != nil {
-			klog.ErrorS(err, "The links are not served any more")
+			klog.ErrorS(err, "Serving links failed")
 		}
 	})
 	defer a.server.Stop()
@@ -147,27 +153,29 @@
 	select {
 	case stored = <-restored:
 	case <-time.After(notesTimeout):
-		klog.InfoS("The notes of earlier lives are not there yet")
+		klog.InfoS("Timed out waiting for the notes of earlier incarnations")
 	}
 	if ctx.Err() != nil {
 		return nil
 	}
 	a.backend = a.newBackendClient(incarnation)
 	a.resume(ctx, stored.Server)
-	// The name is that of this life: an agent takes the signs of life of a later one for
-	// another owner's, and stops what this one left.
+	// Links identify this process by the name of its incarnation. Other agents then take a later
+	// incarnation for another owner, so its heartbeats don't keep alive the runs that this one
+	// has ordered, and these are stopped.
 	dialer := peer.NewDialer(a.member, a)
 	a.links = core.NewLinkSet(a.settings.Links, a, a.fleet, a.metrics, func(node string, reg core.Registration) core.AgentLink {
 		return dialer.Dial(ctx, node, reg.Links)
 	})
-	// From here on frames of others are taken in.
+	// From here on other processes can link this agent.
 	a.serving.Store(true)
-	klog.InfoS("The agent serves", "name", a.settings.Name, "life", incarnation, "member", a.member)
+	klog.InfoS("The agent is serving", "name", a.settings.Name, "life", incarnation, "member", a.member)
 	wg.Go(func() { a.holdLoop(ctx) })
 	wg.Go(func() { a.maintainRegistration(ctx) })
 	wg.Go(func() { a.tickLoop(ctx) })
-	// Only owners link others, and there are as many of them as shards at most. Read by
-	// each of a hundred agents, each record of the registry is read a hundred times.
+	// Only owners link other agents and need the registry, and there are at most as many owners
+	// as shards. If all of a hundred agents followed the registry, each of its records would be
+	// read a hundred times.
 	wg.Go(func() {
 		select {
 		case <-ctx.Done():
@@ -184,7 +192,7 @@
 	return nil
 }
 
-// apply carries out what the worker's machine asks for.
+// apply carries out the effects of the worker's state machine.
 func (a *Agent) apply(fx worker.Effects) {
 	for i := range fx.Starts {
 		go a.start(fx.Starts[i])
@@ -197,7 +205,7 @@
 	}
 }
 
-// tell passes news of a run to its owner.
+// sendEvent sends an event of a run to the owner of its shard, if that is linked.
 func (a *Agent) sendEvent(e *worker.Event) {
 	if e.State.Reason != "" {
 		klog.InfoS("Run", "id", e.State.Run.Task.Job, "step", e.State.Run.Task.Step, "task", e.State.Run.Task.Index, "run", e.State.Run.Number,
@@ -212,8 +220,8 @@
 	event := &corepb.Event{Shard: int32(e.Shard), Epoch: e.Epoch, Run: wire.RunStateToWire(&e.State)}
 	add := func(f *corepb.FromAgent) { f.Events = append(f.Events, event) }
 	if e.State.Status == worker.Running {
-		// Nobody waits for this news: it changes what a job's state and the
-		// counts of queued jobs show, and those may be seconds old.
+		// This event is not urgent: it only affects the reported state of a job and the counts
+		// of queued jobs, which may be seconds old.
 		c.SendQuietly(add)
 		return
 	}
@@ -226,13 +234,13 @@
 	return a.drainStarted
 }
 
-// Drain ends the agent as planned: it hands its shards on, starts nothing new,
-// and waits until what runs beside it has ended and was recorded.
+// Drain prepares a planned stop of the agent. It releases all shards, starts nothing new, and
+// returns when all runs on the backend server have ended and are settled, or when ctx ends.
 func (a *Agent) Drain(ctx context.Context) {
 	a.mu.Lock()
 	a.drainStarted = true
 	a.mu.Unlock()
-	klog.InfoS("The agent drains")
+	klog.InfoS("Draining the agent")
 	a.leave(ctx)
 	for ctx.Err() == nil {
 		fx, empty := a.worker.Drain()
@@ -251,7 +259,7 @@
 	return a.shards[id]
 }
 
-// owned returns the shards that are open here.
+// ownedShards returns the shards that are open here.
 func (a *Agent) ownedShards() []*shardRunner {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -262,7 +270,8 @@
 	return out
 }
 
-// Share implements linkUser: an owner's buckets are its shards.
+// Share returns the hash buckets by which the agents to link are chosen. The buckets of an owner
+// are its shards.
 func (a *Agent) Share() subset.Share {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -272,8 +281,8 @@
 	return subset.Share{Buckets: slices.Sorted(maps.Keys(a.shards)), Total: a.settings.Shards()}
 }
 
-// Required implements linkUser: a takeover has to reach every agent that may have runs of
-// the shard, and ends that only owners can settle wait for one.
+// Required returns the agents that have to be linked besides the chosen ones: those that may have
+// runs of a shard that was taken over, and those with ends that only owners can settle.
 func (a *Agent) Required() []string {
 	out := a.links.WithOrphans()
 	for _, r := range a.ownedShards() {
@@ -282,10 +291,10 @@
 	return out
 }
 
-// Occupied implements linkUser.
+// Occupied reports whether an agent may have runs of the shards that are open here.
 func (a *Agent) Occupied(node string) bool {
 	return slices.ContainsFunc(a.ownedShards(), func(r *shardRunner) bool { return r.Shard.MayHaveRunsAt(node) })
 }
 
-// Metrics serves the agent's metrics.
+// Metrics returns the HTTP handler of the agent's metrics.
 func (a *Agent) Metrics() http.Handler { return a.metrics.Handler() }
--- a/daemon/agent/backend.go
+++ b/daemon/agent/backend.go
@@ -14,34 +14,39 @@
 )
 
 const (
-	// stopTimeout bounds one stop; it is repeated after the same pause.
+	// stopTimeout is the timeout of a stop, which the worker repeats after the same time,
+	// and of a hold that only checks which instance is running.
 	stopTimeout = 100 * time.Millisecond
-	// holdWait is how long a hold waits for an end: an answer that is lost hides
-	// ends for that long and the patience. Six fit into a lease.
+	// holdWait is how long the backend server may wait for an end before it answers
+	// a hold. A lost answer hides ends for that long plus the response timeout. Six
+	// such holds fit into a lease.
 	holdWait = 60 * time.Millisecond
-	// hurryWait is the same while a start is in doubt: its task waits for the
-	// list that shows the run, or that it is barred.
+	// doubtfulWait replaces holdWait while the outcome of a start is unknown. The
+	// task waits for the list that contains the run or shows that it is barred.
 	doubtfulWait = 5 * time.Millisecond
-	// idleWait is the same while nothing runs; nothing needs its lease then.
+	// idleWait replaces holdWait while nothing runs, so that no run needs the lease.
 	idleWait = time.Second
-	// knownPause spaces holds while the backend server lists ends that wait for
-	// their record, up to 0.7 s. It answers at once then: without a pause the
-	// agent asked 300 times a second. An end is noticed that much later at most.
+	// knownEndsPause is the pause before a hold while the backend server lists ends
+	// that wait for their record, which takes up to 0.7 s. It answers at once then,
+	// and without a pause the agent sent 300 holds a second. The pause delays the
+	// detection of an end by at most its length.
 	knownEndsPause = 10 * time.Millisecond
-	// lossyWait stands for holdWait while answers are missing: a lost answer hides
-	// ends for 40 ms then instead of 80. Jobs of eight tasks that may take 150 ms in
-	// all are late otherwise as soon as one of their ends is hidden. Each lost answer
-	// costs a connection.
+	// lossyWait replaces holdWait while answers have been missing. A lost answer then
+	// hides ends for 40 ms instead of 80 ms. With 80 ms, a job of eight tasks that has
+	// 150 ms in all is late as soon as one of its ends is hidden. Each lost answer
+	// costs a connection, and shorter holds lose more answers.
 	lossyWait = 20 * time.Millisecond
-	// holdRetry is the pause before a hold is repeated that failed at once, and
-	// maxHoldRetry the longest: a backend server that is back is found that much later.
+	// minHoldBackoff and maxHoldBackoff bound the pause before a failed hold is
+	// repeated. A backend server that is back is detected up to maxHoldBackoff later.
 	minHoldBackoff = 15 * time.Millisecond
 	maxHoldBackoff = 200 * time.Millisecond
-	// unknownWait is the pause while no backend server has reported.
+	// noServerPause is the interval at which holdLoop checks whether a backend server
+	// has reported.
 	noServerPause = 20 * time.Millisecond
 )
 
-// holdLoop keeps the lease and takes in what has ended.
+// holdLoop sends one hold after another, which extend the lease and list the ends of runs, until
+// ctx ends.
 func (a *Agent) holdLoop(ctx context.Context) {
 	lost := false
 	failures := pause.Backoff{Least: minHoldBackoff, Most: maxHoldBackoff}
@@ -60,7 +65,7 @@
 			klog.InfoS("Lost the backend server", "instance", c.Instance, "err", err)
 		}
 		if err == nil && lost {
-			klog.InfoS("The backend server is reached again", "instance", c.Instance)
+			klog.InfoS("The backend server answers again", "instance", c.Instance)
 		}
 		lost = err != nil
 		if lost {
@@ -119,8 +124,9 @@
 	a.apply(a.worker.StartAnswered(now, c.Instance, c.Run, outcome, reason))
 }
 
-// startReason keeps the label's values few: an unanswered start carries the
-// text of an error.
+// startRefusalLabel returns the metric label for a start that was not confirmed. The
+// reason of an unanswered start is the text of an error, and as a label it would create
+// too many time series.
 func startRefusalLabel(o worker.StartOutcome, reason string) string {
 	if o == worker.StartUnknown {
 		return "no_answer"
@@ -158,8 +164,8 @@
 	}
 }
 
-// loadReportEvery is the pace of the log line that tells how full the backend
-// server is; between two of them other lines tell of each change.
+// loadLogInterval is the interval of the log lines with the load of the backend server.
+// Other log lines report the changes between two of them.
 const loadLogInterval = 2 * time.Second
 
 func (a *Agent) logLoad() {
--- a/daemon/agent/backend_test.go
+++ b/daemon/agent/backend_test.go
@@ -33,10 +33,9 @@
 	return worker.Holding{}, errReset
 }
 
-// A backend server goes down and up, and while it is down it takes connections and resets
-// them. Each call fails at once, and its agent asked again at once: thousands of new
-// connections, and a processor that had no time left for its jobs. Within 400 ms there is
-// room for some ten calls now.
+// A backend server that is down accepts connections and resets them, so each call fails at once.
+// Without a backoff, the agent opened thousands of new connections and left no processor time for
+// its jobs. With the backoff, about ten calls fit into 400 ms.
 func TestCallsThatFailAtOnceAreSpaced(t *testing.T) {
 	is := is.New(t)
 	a := New(coretest.Settings(), coretest.NoStore{}, core.DrainSource{}, nil)
--- a/daemon/agent/callers.go
+++ b/daemon/agent/callers.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	// spreadCost times the number of callers that place work here is the least
-	// pause between two frames that only tell one of them of a changed load.
-	// With 8 entries and 51 agents an entry gets at most 450 of them a second,
-	// at about 30 µs each 1.4 % of a core; other frames carry the load as well.
+	// loadIntervalPerPlacer times the number of callers that place work here is the
+	// least time between two frames to one of them that only carry a changed load.
+	// With 8 entries and 51 agents an entry gets at most 450 such frames a second; at
+	// about 30 µs each they take 1.4 % of a core. Other frames carry the load as well.
 	loadIntervalPerPlacer = 14 * time.Millisecond
-	// placing is how long after its last order a caller counts as one that
-	// places work here. Others hear of loads with the signs of life.
+	// placerTimeout is how long after its last order a caller counts as one that
+	// places work here. Other callers get the load with the heartbeats.
 	placerTimeout = time.Second
-	// ownedEvery is the pace at which callers are told again which shards are
-	// owned here. One that has forgotten an owner waits that long for it.
+	// ownershipInterval is the least time after which a frame repeats to its caller
+	// which shards are owned here. A caller that has dropped an owner waits that long
+	// to learn of it again.
 	ownershipInterval = 150 * time.Millisecond
 )
 
-// loadLevel is the part of a load whose change is worth a frame.
+// loadSummary is the part of a load whose changes are sent in frames of their own.
 type loadSummary struct {
 	free    job.Demand
 	waiting int
@@ -38,16 +39,18 @@
 	return loadSummary{free: l.Free, waiting: l.Waiting, accepts: l.Accepts}
 }
 
-// news is what one caller was told last.
+// callerState is what was last sent to a caller and received from it.
 type callerState struct {
 	mu sync.Mutex
 	// All fields below are guarded by mu.
 
+	// load is the load in the last frame, which was sent at loadAt.
 	load   loadSummary
 	loadAt time.Duration
-	// ownedAt is when it was told which shards are owned here; zero: not yet.
+	// ownershipSentAt is when the caller was last sent which shards are owned here. It
+	// is zero if the next frame has to carry that.
 	ownershipSentAt time.Duration
-	// orderAt is when its last order came; zero: none did.
+	// lastOrderAt is when the last order of the caller came; zero if none has.
 	lastOrderAt time.Duration
 }
 
@@ -57,20 +60,23 @@
 	n.lastOrderAt = now
 }
 
+// isPlacer reports whether the caller currently places work here.
 func (n *callerState) isPlacer(now time.Duration) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.lastOrderAt > 0 && now-n.lastOrderAt < placerTimeout
 }
 
-// due reports whether a changed load is worth a frame of its own.
+// loadDue reports whether the load has changed and the last frame was sent at least
+// pause ago, so that the load is sent in a frame of its own.
 func (n *callerState) loadDue(now time.Duration, level loadSummary, pause time.Duration) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.load != level && now-n.loadAt >= pause
 }
 
-// told notes a frame, and reports whether it has to tell the owned shards.
+// recordFrame records a frame with a load and reports whether the frame also has to
+// carry which shards are owned here.
 func (n *callerState) recordFrame(now time.Duration, level loadSummary) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -82,17 +88,18 @@
 	return true
 }
 
-// ownersChanged has the next frame tell the owned shards.
+// resetOwnership makes the next frame carry which shards are owned here.
 func (n *callerState) resetOwnership() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ownershipSentAt = 0
 }
 
-// Complete implements peer.AgentHandler: each frame carries the present load.
+// Complete implements peer.AgentHandler. Each frame carries the present load.
 func (a *Agent) Complete(c *peer.Caller, f *corepb.FromAgent) {
 	now := bootclock.Now()
-	// Read before the load: what is said to be seen must be in it.
+	// The counter is read before the load, so that the load includes every order that is
+	// reported as seen.
 	seen := c.Orders.Load()
 	l := a.worker.Load(now)
 	f.Load = wire.LoadToWire(&l)
@@ -106,7 +113,7 @@
 	}
 }
 
-// spreadLoad tells those that place work here of a changed load.
+// sendChangedLoad sends a changed load to the callers that place work here.
 func (a *Agent) sendChangedLoad(now time.Duration) {
 	l := a.worker.Load(now)
 	level := summarizeLoad(&l)
@@ -120,10 +127,10 @@
 	}
 }
 
-// nothing leaves a frame as it is; what each frame carries is enough.
+// emptyFrame adds nothing to a frame, which then has only what Complete adds.
 func emptyFrame(*corepb.FromAgent) {}
 
-// announce tells all callers at once which shards are owned here.
+// announceOwnership sends all callers at once which shards are owned here.
 func (a *Agent) announceOwnership() {
 	for c, n := range a.snapshotCallers() {
 		n.resetOwnership()
--- a/daemon/agent/drains.go
+++ b/daemon/agent/drains.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// drainsStale is the age from which on an agent looks into the store itself. Entries
-	// hear from it each 0.6 s.
+	// maxDrainsAge is the age of the known drains from which on an agent reads them in the store
+	// itself. Entries hear from the store every 0.6 s.
 	maxDrainsAge = 2 * time.Second
-	// drainsRetry is the pause between two looks of an agent.
+	// drainsReadInterval is the least time between the beginnings of two reads of an agent.
 	drainsReadInterval = time.Second
 )
 
-// drainsChanged has nothing newly started beside this agent if its failure domain is
-// drained, and tells those that are linked with it.
+// drainsChanged applies a change of the drains. While the failure domain of this agent is
+// drained, nothing is started on its backend server. All linked processes get a frame with the
+// change.
 func (a *Agent) drainsChanged(s drains.State) {
 	a.fleet.SetDrained(s)
 	a.links.Drain(s)
@@ -31,8 +32,9 @@
 	a.links.SendAll(func(*corepb.ToAgent) {})
 }
 
-// checkDrains looks into the store if the callers have not heard from it for long. Those of a
-// process that has just started may only have started too.
+// checkDrains reads the drains in the store if there are callers and none has confirmed the drains
+// for maxDrainsAge. The age counts from the start of the process at the earliest, because the
+// callers may have just started as well.
 func (a *Agent) checkDrains(ctx context.Context, now time.Duration) {
 	if min(a.drains.Age(now), now-a.started) < maxDrainsAge || now-a.drainsReadAt.Get() < drainsReadInterval || len(a.snapshotCallers()) == 0 {
 		return
@@ -44,9 +46,9 @@
 	go func() {
 		defer a.readingDrains.Store(false)
 		err := a.drains.Look(ctx, a.store)
-		klog.InfoS("Looked for drains in the store, since those who place work here have not lately", "err", err)
+		klog.InfoS("Looked for drains in the store, because no caller has confirmed them lately", "err", err)
 	}()
 }
 
-// LinkComplete implements peer.LinkHandler.
+// LinkComplete implements peer.LinkHandler. Each frame carries the known drains.
 func (a *Agent) LinkComplete(f *corepb.ToAgent) { f.Drains = a.drains.Frame() }
--- a/daemon/agent/drains_test.go
+++ b/daemon/agent/drains_test.go
@@ -15,7 +15,7 @@
 	"github.com/shallotstep/shallotstep/transport/peer"
 )
 
-// drainStore has one drain, and counts how often all of it is read.
+// drainStore has one drain and counts the reads of the whole partition.
 type drainStore struct {
 	coretest.NoStore
 	reads atomic.Int32
@@ -26,7 +26,7 @@
 	return []store.Record{{Key: "iksan"}}, 7, nil
 }
 
-// newDrainAgent returns an agent in iksan with a caller.
+// newDrainAgent returns an agent in failure domain iksan with one caller.
 func newDrainAgent(st store.Store) *Agent {
 	set := coretest.Settings()
 	set.Domain = "iksan"
@@ -39,9 +39,9 @@
 	return a
 }
 
-// Guards against a read of the whole partition by each agent when all power is back, since
-// the entries that started beside them have not been answered yet; and against an agent
-// that never looks.
+// After a power failure all agents and entries start at once, and the entries have not heard from
+// the store yet. An agent must give its callers time before it reads the whole partition itself,
+// but must read it in the end.
 func TestNewAgentWaitsForItsCallersDrains(t *testing.T) {
 	is := is.New(t)
 	st := &drainStore{}
@@ -53,7 +53,7 @@
 	is.Equal(st.reads.Load(), int32(1))
 }
 
-// Guards against reads of agents at which nobody places work.
+// An agent without callers gets no orders, so it must not read the drains.
 func TestAgentWithoutCallersReadsNoDrains(t *testing.T) {
 	is := is.New(t)
 	st := &drainStore{}
--- a/daemon/agent/epochs_test.go
+++ b/daemon/agent/epochs_test.go
@@ -6,10 +6,10 @@
 	"github.com/matryer/is"
 )
 
-// An agent opens a shard again and again within one generation, as while the
-// store fails it in the middle. Each epoch must go before the ones before it:
-// a lower one is fenced by the agent's own earlier try, and the shard's jobs
-// stand still until the group changes.
+// An agent opens a shard repeatedly within one generation, for example while the
+// store fails in the middle of a takeover. Each epoch must be higher than the last:
+// a lower one is fenced by the agent's own earlier attempt, and the jobs of the shard
+// make no progress until the group changes.
 func TestEpochsOfAShardOnlyRise(t *testing.T) {
 	is := is.New(t)
 	var e epochs
@@ -19,14 +19,15 @@
 		is.True(n > last)
 		last = n
 	}
-	is.True(last < 9*epochsPerGeneration) // it did not run away
-	is.True(e.next(3, 8) > last)          // also where the room was used up
+	is.True(last < 9*epochsPerGeneration) // the epochs stay within two generations
+	is.True(e.next(3, 8) > last)          // also after the epochs of a generation were used up
 	is.Equal(e.next(4, 8), int64(8*epochsPerGeneration))
 	is.Equal(e.next(4, 9), int64(9*epochsPerGeneration))
 }
 
-// The earlier owner of a shard had used up its generation's epochs, so that the
-// next owner's first one is lower and fenced. It must get past it by itself.
+// The previous owner of a shard has used up the epochs of its generation, so the first
+// epoch of the next owner is lower and fenced. The next owner must reach a higher epoch
+// within a few attempts, without a change of the group.
 func TestFencedOwnerReachesAHigherEpoch(t *testing.T) {
 	is := is.New(t)
 	var earlier, e epochs
--- a/daemon/agent/links_test.go
+++ b/daemon/agent/links_test.go
@@ -15,10 +15,10 @@
 	"github.com/shallotstep/shallotstep/state/store"
 )
 
-// dialledLinks stands for the links of a set, by agent.
+// dialledLinks holds the names of the agents to which a link set has links.
 type dialledLinks map[string]bool
 
-// upLink is a link that is up.
+// upLink is a fake link that is always up.
 type upLink struct {
 	node string
 	all  dialledLinks
@@ -27,7 +27,7 @@
 func (l upLink) Close()   { delete(l.all, l.node) }
 func (l upLink) Up() bool { return true }
 
-// fakeLinks returns a set of links to all agents.
+// fakeLinks returns a link set that links all agents with fake links, and the links it has dialled.
 func fakeLinks(a *Agent, placer core.WorkPlacer) (*core.LinkSet, dialledLinks) {
 	all := make(dialledLinks)
 	return core.NewLinkSet(0, a, placer, core.NewCoreMetrics(), func(node string, _ core.Registration) core.AgentLink {
@@ -40,9 +40,9 @@
 	return store.Record{Key: node, Value: []byte(`{"links":"` + addr + `"}`)}
 }
 
-// A system of 59 processes whose agents each keep a link to each other spends more
-// on signs of life than on work, and its entries' jobs come late: on a site of that
-// size all of a busy day's did. Only 16 agents own a shard; the others link nobody.
+// In a system of 59 processes in which every agent keeps links to all others, heartbeats take
+// more processor time than the work, and the entries' jobs end late. Only 16 of the agents own a
+// shard; the others must keep no links.
 func TestAgentWithoutShardsKeepsNoLinks(t *testing.T) {
 	is := is.New(t)
 	a := New(&settings.Settings{Role: settings.RoleAgent, Name: "a", Store: settings.Store{Topics: 1, Partitions: 4}}, coretest.NoStore{}, core.DrainSource{}, nil)
@@ -51,7 +51,7 @@
 	links.Apply(registeredAgent("b", "10.0.0.2:7"))
 	is.Equal(len(all), 0)
 
-	links.Open() // as it does when it gets a shard
+	links.Open() // as the agent does when it gets a shard
 	a.shards[1] = &shardRunner{Steps: core.NewSteps(owner.New(0, 1, 1, owner.Bounds{}, a.fleet, nil, nil), links, a.metrics)}
 	links.Apply(registeredAgent("c", "10.0.0.3:7"))
 	is.Equal(slices.Sorted(maps.Keys(all)), []string{"b", "c"})
@@ -59,7 +59,7 @@
 	now := time.Hour
 	a.manageLinks(now)
 	delete(a.shards, 1)
-	a.manageLinks(now + idleLinkTimeout) // the shares may be dealt anew
+	a.manageLinks(now + idleLinkTimeout) // a rebalance may still return the shard
 	is.Equal(len(all), 2)
 	a.manageLinks(now + idleLinkTimeout + 1)
 	is.Equal(len(all), 0)
--- a/daemon/agent/membership.go
+++ b/daemon/agent/membership.go
@@ -15,22 +15,26 @@
 	"github.com/shallotstep/shallotstep/transport/pause"
 )
 
-// confirmedOwner reports whether the store has confirmed this agent's share
-// recently enough that nobody else can have been given it, unless all shares
-// were dealt anew.
+// ownershipConfirmed reports whether the store has confirmed this agent's shards so
+// recently that the membership can't have expired. The shards can then have another
+// owner only after a rebalance of the group.
 func (a *Agent) ownershipConfirmed() bool {
 	return bootclock.Now()-a.joinedAt.Get() < a.membershipTTL()
 }
 
+// membershipTTL returns the time after the last join at which the store drops the
+// agent from the owners' group.
 func (a *Agent) membershipTTL() time.Duration { return max(core.GroupTTL, a.settings.Store.MinTTL) }
 
-// memberLoop stays in the group and opens and closes shards as it deals them.
+// membershipLoop keeps the agent in the owners' group, and opens and releases shards as
+// the group assigns them. previous is the member name of the earlier incarnation, if known.
 func (a *Agent) membershipLoop(ctx context.Context, previous string) {
 	if previous != "" {
-		// The earlier life of this agent would keep its share until it lapses.
+		// Otherwise the shards of the earlier incarnation would stay assigned to it until
+		// its membership expires.
 		call, cancel := context.WithTimeout(ctx, core.StoreTimeout)
 		if err := a.store.Leave(call, core.OwnersGroup, previous); err != nil {
-			klog.InfoS("The earlier life could not be taken out of the group", "member", previous, "err", err)
+			klog.InfoS("Could not remove the earlier incarnation from the group", "member", previous, "err", err)
 		}
 		cancel()
 	}
@@ -42,7 +46,7 @@
 		if !a.draining() {
 			next, err := a.joinOnce(ctx, generation)
 			if err == nil && lost {
-				klog.InfoS("The group is reached again")
+				klog.InfoS("The group is reachable again")
 			}
 			if err != nil && !lost {
 				klog.InfoS("Lost the group", "err", err)
@@ -51,7 +55,8 @@
 			if err == nil {
 				generation = next
 			} else if bootclock.Now()-a.joinedAt.Get() > core.RenewLimit {
-				// The next owner waits this long for agents it can't reach.
+				// An owner must not renew its runs for longer: the time for which
+				// the next owner waits for agents that it can't reach depends on it.
 				a.release(nil)
 			}
 		}
@@ -64,16 +69,16 @@
 	}
 }
 
-// linkLinger is how long links are kept after the last shard has gone: shares are
-// often dealt anew several times in a row, and new links cost both sides about a
-// millisecond each.
+// idleLinkTimeout is how long links are kept after the agent has lost its last shard.
+// Rebalances often follow one another, and each new link costs both sides about a
+// millisecond.
 const idleLinkTimeout = 10 * time.Second
 
-// keepLinks ends the links to the other agents when this one has owned no shards for a
-// while: it has nothing to say to them. They are made for a shard that has jobs, or may
-// have runs somewhere, and with the first job that is submitted: with a link from each
-// owner to each agent, signs of life alone take more than the work. Owners also link
-// agents when one has ends that only they can settle.
+// manageLinks closes the links to other agents once this one has owned no shard for
+// idleLinkTimeout, because it needs none then. The links are opened only for a shard that
+// has unfinished jobs or may have runs at agents, for the first submitted job, or, here,
+// when an agent has ends that only owners can settle. If every owner always linked every
+// agent, the heartbeats alone would take more processor time than the work.
 func (a *Agent) manageLinks(now time.Duration) {
 	a.mu.Lock()
 	if len(a.shards)+len(a.opening) > 0 {
@@ -89,7 +94,7 @@
 	}
 }
 
-// joinTimeout bounds one join; a slow store's answer fits into it.
+// joinTimeout is the timeout of a join. It allows for the answer of a slow store.
 const joinTimeout = 700 * time.Millisecond
 
 func (a *Agent) joinOnce(ctx context.Context, generation int64) (int64, error) {
@@ -123,8 +128,8 @@
 	return m.Generation, nil
 }
 
-// release closes the shards that are not in the agent's share any more. The
-// next join gives them to their new owners.
+// release closes the shards that are not in keep. The next join lets the group assign
+// them to their new owners.
 func (a *Agent) release(keep map[int]bool) {
 	var gone []*shardRunner
 	a.mu.Lock()
@@ -145,14 +150,15 @@
 	}
 }
 
-// linked returns the sessions of the links to agents that are up.
+// linkedAgents returns the session of each link to another agent that is up, by agent.
 func (a *Agent) linkedAgents() map[string]int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return maps.Clone(a.linkSessions)
 }
 
-// acquire opens a shard in the background unless that is under way.
+// acquire opens a shard in the background, unless it is open or being opened, or the agent
+// is draining.
 func (a *Agent) acquire(ctx context.Context, id int, generation int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -180,14 +186,15 @@
 			klog.InfoS("A shard can't be taken over yet", "shard", id, "epoch", epoch, "err", err)
 			return
 		}
-		// Those that the shard's list names are linked at once: its jobs wait for them.
+		// The agents that may have runs of the shard are linked at once, because the
+		// shard's jobs wait for their answers.
 		a.links.Reconcile(bootclock.Now())
 		a.claimEverywhere(r)
 		a.announceOwnership()
 	}()
 }
 
-// claimEverywhere claims a shard at all agents that are linked.
+// claimEverywhere claims a shard at all linked agents.
 func (a *Agent) claimEverywhere(r *shardRunner) {
 	for node, session := range a.linkedAgents() {
 		claims := r.LinkUp(node, session)
@@ -197,10 +204,11 @@
 	}
 }
 
-// leave gives all shards back.
+// leave releases all shards and leaves the group. Before that it waits, within bounds,
+// for the records that clients wait for.
 func (a *Agent) leave(ctx context.Context) {
 	for _, r := range a.ownedShards() {
-		// What was accepted is in the store; what is on its way gets there.
+		// Accepted jobs are in the store already. This waits for the writes in progress.
 		for i := 0; i < drainAttempts && ctx.Err() == nil && r.HasRecordWaiters(); i++ {
 			r.Signal()
 			_ = pause.For(ctx, drainPause)
@@ -210,12 +218,12 @@
 	call, cancel := context.WithTimeout(ctx, core.StoreTimeout)
 	defer cancel()
 	if err := a.store.Leave(call, core.OwnersGroup, a.member); err != nil {
-		klog.InfoS("The group was not left; the share lapses", "err", err)
+		klog.InfoS("Could not leave the group; the membership will expire", "err", err)
 	}
 }
 
 const (
-	// drainWrites times drainPause bounds the wait for records on their way.
+	// drainAttempts times drainPause bounds the wait of leave for records of one shard.
 	drainAttempts = 20
 	drainPause    = 5 * time.Millisecond
 )
--- a/daemon/agent/metrics.go
+++ b/daemon/agent/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/shallotstep/shallotstep/daemon/core"
 )
 
-// watchWorker registers the counters of an agent's books.
+// registerWorkerMetrics registers the counters of the worker's state machine.
 func registerWorkerMetrics(m *core.CoreMetrics, w *worker.Worker) {
 	for _, c := range []struct {
 		name, help string
--- a/daemon/agent/notes.go
+++ b/daemon/agent/notes.go
@@ -15,15 +15,16 @@
 	"github.com/shallotstep/shallotstep/transport/metrics"
 )
 
-// notesTopics spreads the agents' notes. A partition takes one append at a time, in 4 ms
-// usually and in 300 where the store is slow; when a hundred agents come back at once each
-// writes one before it can serve. With one partition for all they were served again 2.7 s
-// after their return.
+// notesTopics is the number of topics that hold the agents' notes. A partition takes one append
+// at a time, usually in 4 ms, and in 300 ms if the store is slow. Each agent appends a record
+// before it serves, so when a hundred agents came back at once and shared one partition, they
+// served again only after 2.7 s.
 const notesTopics = 4
 
-// notesPartition has what an agent writes down for its next life. Nobody else reads it: in
-// the registry, which all entries follow, each note would be read by each of them. A read
-// returns all of a partition, so the agents are spread over those of the topics.
+// notesPartition returns the partition with the agent's notes for its next incarnation. The notes
+// are kept apart from the registry because all entries follow the registry and would read every
+// note. A read returns a whole partition, so the agents are spread by the hash of their names
+// over the partitions of all topics.
 func (a *Agent) notesPartition() store.Partition {
 	h := fnv.New32a()
 	h.Write([]byte(a.settings.Name)) //nolint:errcheck // it never fails
@@ -31,27 +32,26 @@
 	return notes.Partition(int(h.Sum32() % uint32(notes.Size())))
 }
 
-// notesWait is how long an agent that has its number waits for its notes: a few times
-// what a read takes. Without them runs of earlier lives wait for their owners as long as
-// an agent without notes has them wait, and the backend server is known with its next
-// report only.
+// notesTimeout is how long an agent that has its incarnation number waits for its notes. It is a
+// few times the duration of a read. Without the notes, runs of earlier incarnations wait for
+// their owners as they do at an agent that has none, and the backend server is known only after
+// its next report.
 const notesTimeout = 100 * time.Millisecond
 
-// notes are an agent's, under its name as key.
+// notes is what an agent stores for its next incarnation, with its name as the key.
 type notes struct {
-	// Owners are those whose orders the agent has taken; see worker.Former.
+	// Owners are the owners whose orders the agent has received; see worker.Former.
 	Owners []string `json:"owners"`
-	// Member is the agent's last name in the group that shares out the shards.
+	// Member is the name of the incarnation in the owners' group.
 	Member string `json:"member,omitempty"`
-	// Server is the backend server that the agent saw last. The agent's next life goes
-	// on with it at once, if the same instance answers, instead of waiting for its next
-	// report.
+	// Server is the last known backend server. If the same instance answers, the next
+	// incarnation continues with it at once instead of waiting for its next report.
 	Server *storedServer `json:"server,omitempty"`
-	// Registered is what the registry has of the agent.
+	// Registered is the agent's registration in the registry.
 	Registered *core.Registration `json:"registered,omitempty"`
 }
 
-// knownServer is what an agent remembers of its backend server.
+// storedServer is what an agent stores about its backend server.
 type storedServer struct {
 	Instance string     `json:"instance"`
 	Service  string     `json:"service"`
@@ -62,45 +62,47 @@
 	Varies bool `json:"varies,omitempty"`
 }
 
-// usable reports whether a remembered backend server has all that is needed of one. One
-// whose capacity varies has not: it may have shrunk since it was written down, and what
-// this life started by it would not fit. Its next report is waited for.
+// usable reports whether an agent can continue with a stored backend server before its next
+// report. A server whose capacity varies is not usable: the capacity may have shrunk since it was
+// stored, and the runs started by it would not fit.
 func (s *storedServer) usable() bool {
 	return s != nil && !s.Varies && s.Instance != "" && s.Service != "" && s.Capacity.CPUMillis > 0
 }
 
-// lifeKey is the key of the record that begins a life: its offset numbers the life. It is
-// no part of the notes, which are read while it is written.
+// incarnationKey returns the key of the record whose offset numbers an incarnation. The record is
+// separate from the notes because they are read while it is written.
 func incarnationKey(name string) string { return incarnationPrefix + name }
 
 const incarnationPrefix = "\x00life/"
 
-// markKey is the key of an agent's mark: an owner of recorded jobs may have claimed
-// there. It is a record of its own, which is never taken back; notes that were on their
-// way would otherwise overwrite it.
+// markerKey returns the key of the marker that an owner of recorded jobs may have claimed a shard
+// at the agent. The marker is never removed. It is separate from the notes because notes that are
+// still in transit would overwrite it.
 func markerKey(name string) string { return markerPrefix + name }
 
-// markPrefix begins with a byte that no agent's name has.
+// markerPrefix begins with a byte that no agent's name contains.
 const markerPrefix = "\x00recorded/"
 
-// earlier is what an agent's earlier lives have written down.
+// storedState is what the earlier incarnations of an agent have stored.
 type storedState struct {
 	notes
-	// noted is set where there were notes, and recorded where there was the mark.
+	// hasNotes is set if there are notes, and hasMarker if there is the marker for recorded
+	// jobs.
 	hasNotes, hasMarker bool
 }
 
-// effortOnly reports whether all runs of the earlier lives are of best-effort jobs.
+// bestEffortOnly reports whether all runs of the earlier incarnations belong to best-effort jobs.
 func (e *storedState) bestEffortOnly() bool { return e.hasNotes && !e.hasMarker }
 
-// readNotes returns what an agent's earlier lives have written down.
+// readNotes reads what the earlier incarnations of the agent have stored. Malformed notes are
+// ignored.
 func (a *Agent) readNotes(ctx context.Context) (storedState, error) {
 	ctx, cancel := context.WithTimeout(ctx, core.StoreTimeout)
 	defer cancel()
 	name := a.settings.Name
 	records, _, err := a.store.Newest(ctx, a.notesPartition())
 	if err != nil {
-		return storedState{}, errors.Wrap(err, "notes")
+		return storedState{}, errors.Wrap(err, "read notes")
 	}
 	var out storedState
 	for _, r := range records {
@@ -111,7 +113,7 @@
 			var n notes
 			if err := json.Unmarshal(r.Value, &n); err != nil {
 				metrics.Malformed(metrics.KindNotes)
-				klog.ErrorS(err, "The notes of an earlier life are malformed")
+				klog.ErrorS(err, "Ignoring malformed notes of an earlier incarnation")
 				continue
 			}
 			out.notes, out.hasNotes = n, true
@@ -120,7 +122,7 @@
 	return out, nil
 }
 
-// writeNotes writes down what the next life is to know.
+// writeNotes writes the notes for the next incarnation.
 func (a *Agent) writeNotes(ctx context.Context) {
 	n := notes{Owners: a.recentPlacers.owners(), Member: a.member, Registered: a.registered.Load()}
 	if s, ok := a.worker.Server(); ok {
@@ -128,25 +130,25 @@
 	}
 	b, err := json.Marshal(&n)
 	if err != nil {
-		klog.ErrorS(err, "Notes can't be encoded")
+		klog.ErrorS(err, "Can't encode the notes")
 		return
 	}
 	if _, err := a.appendNote(ctx, a.settings.Name, b); err != nil {
-		klog.InfoS("The notes for the next life could not be written; it waits longer", "err", err)
+		klog.InfoS("Could not write the notes for the next incarnation; will retry", "err", err)
 		a.recentPlacers.markDirty()
 	}
 }
 
-// note writes a record for the next life and returns its offset.
+// appendNote appends a record to the notes partition and returns its offset.
 func (a *Agent) appendNote(ctx context.Context, key string, value []byte) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, core.StoreTimeout)
 	defer cancel()
 	return a.store.Append(ctx, a.notesPartition(), nil, []store.Record{{Key: key, Value: value}})
 }
 
-// mark writes down that owners of recorded jobs claim here, and returns once it is.
-// Without it the next life would take runs of recorded jobs for best-effort ones, and
-// acknowledge ends that nobody has recorded.
+// storeMarker stores the marker that owners of recorded jobs claim shards here, and returns once
+// it is stored. Without it the next incarnation would take runs of recorded jobs for best-effort
+// ones, and acknowledge ends that no owner has recorded.
 func (a *Agent) storeMarker() {
 	a.markerMu.Lock()
 	defer a.markerMu.Unlock()
@@ -154,7 +156,7 @@
 		return
 	}
 	ctx := context.Background()
-	core.UntilDone(ctx, "That recorded jobs may run here could not be written down; their owner waits", func() error {
+	core.UntilDone(ctx, "Could not store the marker for recorded jobs yet; the owner's claim has to wait", func() error {
 		_, err := a.appendNote(ctx, markerKey(a.settings.Name), []byte(a.member))
 		return err
 	})
--- a/daemon/agent/placers.go
+++ b/daemon/agent/placers.go
@@ -10,35 +10,38 @@
 )
 
 const (
-	// placersPause spaces the writes of who has placed work here. After a start all
-	// entries place their first task within a moment, and one write covers them.
+	// placersWriteInterval is the least time between two writes of the notes. After a
+	// start, all entries place their first task at almost the same time, and one write
+	// covers them.
 	placersWriteInterval = 500 * time.Millisecond
-	// placersMemory is how long one that places nothing more is kept: longer than a
-	// task of best-effort jobs takes.
+	// placerRetention is how long an owner is kept after its last order. It is longer
+	// than a task of a best-effort job takes.
 	placerRetention = time.Minute
 )
 
-// placersLog knows whose orders this agent has taken. It is written down in the agent's
-// notes, so that its next life knows of whom the runs can be that it finds at its
-// backend server. See worker.Former.
+// recentPlacers records the owners whose orders this agent has received. They are stored in
+// the agent's notes, so that its next incarnation knows which owners the runs that it finds on
+// its backend server may belong to. See worker.Former.
 type recentPlacers struct {
 	mu sync.Mutex
 	// All fields below are guarded by mu.
 
-	// lives has the last life of each node that has placed work, and ordered when that
-	// was.
+	// ownerByNode has the newest owner of each node that has placed work, and lastOrder
+	// the time of its last order.
 	ownerByNode map[string]string
 	lastOrder   map[string]time.Duration
-	dirty       bool
-	writtenAt   time.Duration
+	// dirty is set while the notes have to be written. writtenAt is when the last write
+	// became due.
+	dirty     bool
+	writtenAt time.Duration
 }
 
 func newRecentPlacers() *recentPlacers {
 	return &recentPlacers{ownerByNode: make(map[string]string), lastOrder: make(map[string]time.Duration)}
 }
 
-// carryOver takes in what an earlier life has written down. What this life has seen is
-// newer.
+// restore adds the owners that an earlier incarnation has stored, except for nodes that have
+// already sent orders to this incarnation.
 func (l *recentPlacers) restore(now time.Duration, owners []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,21 +60,22 @@
 	l.ownerByNode[node], l.lastOrder[node] = owner, now
 }
 
-// again has the notes written once more.
+// markDirty makes the notes due to be written again.
 func (l *recentPlacers) markDirty() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.dirty = true
 }
 
-// note takes in that an owner has sent orders.
+// record records that an owner has sent orders.
 func (l *recentPlacers) record(now time.Duration, owner string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recordLocked(now, owner)
 }
 
-// due reports whether there is something to write down, once for each change.
+// writeDue reports whether the notes have to be written. It does so once for each change, and
+// then also drops the owners whose last order is older than placerRetention.
 func (l *recentPlacers) writeDue(now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +93,7 @@
 	return true
 }
 
-// owners returns the names.
+// owners returns the names of the recorded owners, sorted.
 func (l *recentPlacers) owners() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/daemon/agent/placers_test.go
+++ b/daemon/agent/placers_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// The notes of an agent's earlier life come late from a slow store. An entry that has
-// come back meanwhile has placed work under its new life; put back to the earlier one,
-// the agent's next life would take the new one's runs for those of an entry that is gone.
+// The notes of an earlier incarnation are read late because the store is slow. An entry has
+// restarted and placed work in the meantime. If the notes replaced its new incarnation by the old
+// one, the agent's next incarnation would take the entry's runs for those of an entry that is gone.
 func TestLateNotesDoNotReplaceWhatIsNewer(t *testing.T) {
 	is := is.New(t)
 	l := newRecentPlacers()
@@ -18,7 +18,7 @@
 	is.Equal(l.owners(), []string{"entry-1/new", "entry-2/old"})
 }
 
-// An entry places tasks on an agent a hundred times a second. That is written down once.
+// An entry places tasks on an agent a hundred times a second. The notes are written only once.
 func TestNotesAreWrittenWhenTheyChange(t *testing.T) {
 	is := is.New(t)
 	l := newRecentPlacers()
@@ -32,7 +32,7 @@
 	}
 	l.record(now, "entry-1/b")
 	is.True(l.writeDue(now))
-	// One that has placed nothing for long is left out of the next notes.
+	// An owner that has placed nothing for longer than placerRetention is dropped.
 	l.record(now+2*placerRetention, "entry-2/a")
 	is.True(l.writeDue(now + 2*placerRetention))
 	is.Equal(l.owners(), []string{"entry-2/a"})
--- a/daemon/agent/registration.go
+++ b/daemon/agent/registration.go
@@ -14,11 +14,12 @@
 	"github.com/shallotstep/shallotstep/transport/pause"
 )
 
-// enrol returns the number of this life, which rises with each one since it is the offset
-// of a record that this life writes; zero if the context has ended.
+// startIncarnation stores a record for this incarnation of the agent and returns the incarnation
+// number. The number is the record's offset plus one, so it increases with each incarnation. The
+// result must not be used if ctx has ended.
 func (a *Agent) startIncarnation(ctx context.Context) int64 {
 	var incarnation int64
-	core.UntilDone(ctx, "The agent can't begin its life yet", func() error {
+	core.UntilDone(ctx, "Can't store the incarnation of the agent yet", func() error {
 		offset, err := a.appendNote(ctx, incarnationKey(a.settings.Name), []byte(a.member))
 		incarnation = offset + 1
 		return err
@@ -26,10 +27,10 @@
 	return incarnation
 }
 
-// takeNotes takes in what earlier lives have written down.
+// restoreNotes reads the notes of earlier incarnations, applies them, and returns them.
 func (a *Agent) restoreNotes(ctx context.Context) storedState {
 	var e storedState
-	core.UntilDone(ctx, "The notes of earlier lives can't be read yet", func() error {
+	core.UntilDone(ctx, "Can't read the notes of earlier incarnations yet", func() error {
 		var err error
 		e, err = a.readNotes(ctx)
 		return err
@@ -48,13 +49,13 @@
 	return e
 }
 
-// keepRegistered has the registry say what the agent offers, from the first report of its
-// backend server on, until the context ends. It looks again when what it says may have
-// changed.
+// maintainRegistration keeps the agent's registration up to date until the context ends. The
+// agent registers after the first report of its backend server, and again when offerUpdates is
+// signalled and the registration has changed.
 func (a *Agent) maintainRegistration(ctx context.Context) {
 	for ctx.Err() == nil {
 		before := a.registered.Load()
-		core.UntilDone(ctx, "The agent can't register yet", func() error { return a.register(ctx) })
+		core.UntilDone(ctx, "Can't register the agent yet", func() error { return a.register(ctx) })
 		if a.registered.Load() != before {
 			_ = pause.For(ctx, registrationInterval)
 		}
@@ -65,11 +66,11 @@
 	}
 }
 
-// offerPause spaces the writes of a registration. A capacity that goes back and forth would
-// be written, and read by all entries, with each report.
+// registrationInterval is the least time between two writes of the registration. Without it, a
+// capacity that alternates would be written, and read by all entries, with each report.
 const registrationInterval = time.Second
 
-// register has the registry say what the agent offers, unless it does.
+// register writes the registration to the registry, unless the registry has it already.
 func (a *Agent) register(ctx context.Context) error {
 	reg, ok := a.registration()
 	if last := a.registered.Load(); !ok || last != nil && reg.Same(last) {
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// offerChanged has the registration looked at again.
+// offerChanged signals that the registration may have changed.
 func (a *Agent) offerChanged() {
 	select {
 	case a.offerUpdates <- struct{}{}:
@@ -92,7 +93,8 @@
 	}
 }
 
-// registration is what the registry should say; false before the first report.
+// registration returns the agent's present registration. It returns false while no backend server
+// is known.
 func (a *Agent) registration() (*core.Registration, bool) {
 	s, ok := a.worker.Server()
 	if !ok {
@@ -104,8 +106,8 @@
 	}, true
 }
 
-// keepNotes writes down whose orders this agent has taken, when that changes, and asks
-// for the owners of ends that wait for them.
+// maintainNotes writes the notes when their contents have changed. Once an end is orphaned, it
+// also announces that in the registry, so that owners link this agent and settle the end.
 func (a *Agent) maintainNotes(ctx context.Context, now time.Duration) {
 	if a.recentPlacers.writeDue(now) {
 		go a.writeNotes(ctx)
@@ -113,11 +115,11 @@
 	if !a.worker.Orphaned(now) || a.hasOrphans.Swap(true) {
 		return
 	}
-	klog.InfoS("Ends wait for the owners of their shards; they are asked to claim")
+	klog.InfoS("Ends are waiting for the owners of their shards; asking the owners to claim")
 	a.offerChanged()
 }
 
-// resume goes on with the backend server that the earlier life knew, if that
+// resume continues with the backend server that an earlier incarnation has stored, if that
 // instance answers.
 func (a *Agent) resume(ctx context.Context, s *storedServer) {
 	if !s.usable() {
@@ -127,10 +129,10 @@
 	defer cancel()
 	h, err := a.backend.Hold(call, worker.HoldCall{Instance: s.Instance}, 0)
 	if err != nil {
-		klog.InfoS("The backend server of the earlier life does not answer", "instance", s.Instance, "err", err)
+		klog.InfoS("The backend server of the earlier incarnation does not answer", "instance", s.Instance, "err", err)
 		return
 	}
-	klog.InfoS("Going on with the backend server of the earlier life", "instance", s.Instance)
+	klog.InfoS("Resuming the backend server of the earlier incarnation", "instance", s.Instance)
 	a.apply(a.worker.Resume(bootclock.Now(), worker.Server{
 		Instance: s.Instance, Service: s.Service, Labels: s.Labels, Capacity: s.Capacity, Draining: s.Draining,
 	}, h.ClockMS))
@@ -140,7 +142,7 @@
 	return &storedServer{Instance: s.Instance, Service: s.Service, Labels: s.Labels, Capacity: s.Capacity, Draining: s.Draining, Varies: varies}
 }
 
-// Report takes in a report of the backend server.
+// Report handles a report of the backend server.
 func (a *Agent) Report(s worker.Server, clockMS int64) {
 	if !a.acceptsReport(s) {
 		metrics.Malformed(metrics.KindReport)
@@ -156,11 +158,12 @@
 	a.recentPlacers.markDirty()
 }
 
-// believes reports whether a report may be of the backend server beside this agent. It
-// may be another writer's, or an earlier instance's that was held up: taken for a new
-// one, the runs of the present instance would count as lost and be started again beside
-// themselves. So the backend server itself is asked; one that does not answer can't
-// start anything either.
+// acceptsReport reports whether s may be a report of the backend server beside this agent. It may
+// also come from another writer, or be a delayed report of an earlier instance. If that were
+// taken for a new instance, the runs of the present instance would count as lost and their tasks
+// would run twice. So a report of another instance is checked with a hold for that instance. If
+// the backend server doesn't answer the hold, the report is accepted: such a server can't start
+// anything either.
 func (a *Agent) acceptsReport(s worker.Server) bool {
 	known, ok := a.worker.Server()
 	if !ok || !a.serving.Load() {
@@ -168,7 +171,7 @@
 	}
 	if known.Instance == s.Instance {
 		if known.Service != s.Service {
-			klog.InfoS("A report names another service for the same instance and is left out", "instance", s.Instance, "service", s.Service, "known", known.Service)
+			klog.InfoS("Ignoring a report that names another service for the same instance", "instance", s.Instance, "service", s.Service, "known", known.Service)
 		}
 		return known.Service == s.Service
 	}
@@ -176,11 +179,11 @@
 	defer cancel()
 	_, err := a.backend.Hold(ctx, worker.HoldCall{Instance: s.Instance}, 0)
 	if errors.Is(err, worker.ErrOtherInstance) {
-		klog.InfoS("A report is of an instance that is not there and is left out", "instance", s.Instance, "known", known.Instance)
+		klog.InfoS("Ignoring a report of an instance that is not running", "instance", s.Instance, "known", known.Instance)
 		return false
 	}
 	return true
 }
 
-// Left takes in that the backend server is going.
+// Left handles the deregistration of an instance of the backend server.
 func (a *Agent) Left(instance string) { a.apply(a.worker.Left(instance)) }
--- a/daemon/agent/registration_test.go
+++ b/daemon/agent/registration_test.go
@@ -18,7 +18,7 @@
 	"github.com/shallotstep/shallotstep/state/store"
 )
 
-// registryStore keeps what is written to the registry.
+// registryStore records the registrations that are written.
 type registryStore struct {
 	coretest.NoStore
 	mu      sync.Mutex
@@ -38,9 +38,9 @@
 	return 0, nil
 }
 
-// A backend server's capacity goes back and forth with each of its reports. Written each
-// time, its registration would be read as often by all entries; it is written once a
-// second at most, at once when it is the first, and what it says last is what holds.
+// The capacity of a backend server alternates with each of its reports. If the registration were
+// written each time, all entries would read it as often. The first registration is written at
+// once, later ones at most once a second, and the last one written has the last capacity reported.
 func TestRegistrationFollowsTheCapacityWithPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/daemon/agent/requests.go
+++ b/daemon/agent/requests.go
@@ -13,7 +13,7 @@
 	"github.com/shallotstep/shallotstep/transport/pause"
 )
 
-// verdictNotOwner answers questions about shards of other agents.
+// responseNotOwner is the response to a request for a shard that this agent doesn't own.
 var responseNotOwner = owner.Response{Outcome: owner.NotOwner, Reason: owner.ReasonOwnerChanged}
 
 // Submit implements peer.AgentHandler.
@@ -32,19 +32,21 @@
 }
 
 const (
-	// reachTimeout bounds the wait for the links of an owner's first job: a dial, a
-	// claim and the record of whom it has claimed take 50 ms, on a slow host 200.
+	// linkWaitTimeout bounds the wait for links when an owner gets its first job. A
+	// dial, a claim and the record of the claimed agents take 50 ms, on a slow host
+	// 200 ms.
 	linkWaitTimeout = 400 * time.Millisecond
-	// reachPoll is the pace at which it is looked whether they are there.
+	// linkPollInterval is the interval at which a waiting job checks the links.
 	linkPollInterval = 5 * time.Millisecond
 )
 
-// reach links the other agents, if they are not, and waits until orders may go to them.
-// Without the wait an owner's first jobs would be refused for want of a worker. Later
-// ones are not held: an agent that is not there by then is away.
+// awaitLinks opens the links to other agents, if they are not open, and waits until orders may be
+// sent to all wanted agents, but not beyond linkWaitUntil. Without the wait, the first jobs of an
+// owner would be refused because no worker is available. Later jobs don't wait: an agent that is
+// not linked by then is down.
 func (a *Agent) awaitLinks(r *shardRunner) {
 	if !a.links.Opened() {
-		klog.InfoS("The first job of an owner: the agents are linked", "shard", r.ID)
+		klog.InfoS("Linking the agents for the first job of an owner", "shard", r.ID)
 		a.linkWaitUntil.Set(bootclock.Now() + linkWaitTimeout)
 		a.links.Open()
 	}
--- a/daemon/agent/serve.go
+++ b/daemon/agent/serve.go
@@ -16,7 +16,8 @@
 
 var errSilent = errors.New("the owner was silent for too long; it has to claim its shards anew")
 
-// Ready implements peer.AgentHandler.
+// Ready implements peer.AgentHandler. Links are refused until the agent knows what runs on its
+// backend server.
 func (a *Agent) Ready() bool {
 	return a.serving.Load() && a.worker.Ready(bootclock.Now()-a.started)
 }
@@ -48,7 +49,8 @@
 	if !a.worker.Heard(now, c.Node) && len(f.GetClaims()) == 0 {
 		return errSilent
 	}
-	// Before the orders of the frame: its sender knew as much when it sent them.
+	// The drains apply before the orders of the frame, because the sender knew them when it sent
+	// the orders.
 	a.drains.Told(f.GetDrains())
 	for _, p := range f.GetClaims() {
 		a.handleClaim(c, p)
@@ -74,8 +76,8 @@
 	return nil
 }
 
-// takeClaim answers a claim. That of a recorded shard waits for what has to be written
-// down first; its owner sends no order before the answer.
+// handleClaim answers a claim. A claim of a recorded shard is answered in the background once the
+// marker for recorded jobs is stored. Its owner sends no order before the answer.
 func (a *Agent) handleClaim(c *peer.Caller, p *corepb.Claim) {
 	if a.markerStored.Load() || int(p.GetShard()) >= a.settings.Shards() {
 		a.answerClaim(bootclock.Now(), c, p)
@@ -99,21 +101,21 @@
 	c.Send(func(f *corepb.FromAgent) { f.Claimed = append(f.Claimed, wire.ClaimedToWire(&answer)) })
 }
 
-// everyCaller returns a copy of the links that others have made.
+// snapshotCallers returns a copy of the callers and their states.
 func (a *Agent) snapshotCallers() map[*peer.Caller]*callerState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return maps.Clone(a.callerStates)
 }
 
-// newsFor returns what a caller was told, or nil if its link has ended.
+// stateOf returns the state of a caller, or nil if its link has ended.
 func (a *Agent) stateOf(c *peer.Caller) *callerState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.callerStates[c]
 }
 
-// LinkUp implements peer.LinkHandler.
+// LinkUp implements peer.LinkHandler. It returns the claims of the open shards.
 func (a *Agent) LinkUp(node string, session int64) *corepb.ToAgent {
 	a.mu.Lock()
 	a.linkSessions[node] = session
@@ -121,10 +123,10 @@
 	a.fleet.Linked(node)
 	out := &corepb.ToAgent{}
 	if !a.ownershipConfirmed() {
-		// An agent that has just started knows no epochs. An owner that the group
-		// has replaced must not be the first to claim there: it would settle ends
-		// and repeat orders that are its successor's. Once the store confirms the
-		// shards, the next join claims them.
+		// An agent that has just started knows no epochs, so it would accept the claim
+		// of an owner that the group has replaced. That owner would settle ends and
+		// repeat orders that belong to its successor. The shards are claimed after the
+		// next successful join instead.
 		a.claimsPending.Store(true)
 		return out
 	}
--- a/daemon/agent/shard.go
+++ b/daemon/agent/shard.go
@@ -18,24 +18,26 @@
 )
 
 const (
-	// producerName is the writer of each shard; epochs tell owners apart.
+	// producerName is the name under which every owner writes. Owners differ by their
+	// epochs.
 	producerName = "owner"
-	// agentsKey holds the agents that may have runs of a shard. No job's ID
-	// begins with a zero byte.
+	// agentsKey is the key of the list of agents that may have runs of a shard. No job
+	// ID begins with a zero byte.
 	agentsKey = "\x00agents"
-	// firstAttempt is the time that an append may take before it is repeated;
-	// usually it takes 5 ms. The time doubles with each repeat.
+	// firstAppendTimeout is the timeout of the first attempt of an append, which
+	// usually takes 5 ms. The timeout doubles with each attempt.
 	firstAppendTimeout = 60 * time.Millisecond
-	// maxAttempt is the longest: a slow store answers within it.
+	// maxAppendTimeout is the longest timeout of an attempt. A slow store answers
+	// within it.
 	maxAppendTimeout = time.Second
-	// badAfter is when a store without an answer counts as unavailable for new
-	// jobs: longer than one lost answer and its repeat take.
+	// unavailableAfter is how long an append may go without an answer before new jobs
+	// are refused. It is longer than one lost answer and the next attempt take.
 	unavailableAfter = 300 * time.Millisecond
-	// probePause is the pace at which an owner tries a store that rejects it.
+	// probeInterval is the pause before the next call to a store that rejects calls.
 	probeInterval = 100 * time.Millisecond
 )
 
-// shardRunner drives a shard whose jobs are recorded.
+// shardRunner drives the state machine of a shard whose jobs are recorded.
 type shardRunner struct {
 	*core.Steps
 	agent     *Agent
@@ -43,15 +45,15 @@
 	producer  store.Producer
 	stop      context.CancelFunc
 	done      chan struct{}
-	// spent is the time until which the allowance of writes is used up. Only
-	// the writer uses it.
+	// nextWriteAt is the earliest time of the next write under the rate limit. Only
+	// the goroutine of run uses it.
 	nextWriteAt time.Duration
-	// stale is set while the store does not take writes.
+	// storeUnavailable is set while the store does not accept writes.
 	storeUnavailable atomic.Bool
 }
 
-// openShard takes a shard over: it shuts earlier owners out, reads what the
-// store has and claims the shard at all agents.
+// openShard takes a shard over: it fences earlier owners, reads the shard's records
+// and starts the shard's runner.
 func (a *Agent) openShard(ctx context.Context, id int, epoch int64) (*shardRunner, error) {
 	began := bootclock.Now()
 	r := &shardRunner{
@@ -75,15 +77,16 @@
 	return r, nil
 }
 
-// fence sets the epoch at the store: from here on no earlier owner writes.
+// fence sets the epoch of the shard's partition in the store. From then on earlier
+// owners can't write.
 func (r *shardRunner) fence(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, core.StoreTimeout)
 	defer cancel()
 	_, err := r.agent.store.Append(ctx, r.partition, &r.producer, nil)
-	return errors.Wrap(err, "fence")
+	return errors.Wrap(err, "fence earlier owners")
 }
 
-// run writes what is due, one call at a time.
+// run ticks the shard and writes what is due, one call at a time, until ctx ends.
 func (r *shardRunner) run(ctx context.Context) {
 	defer close(r.done)
 	tick := time.NewTicker(core.TickEvery)
@@ -102,7 +105,7 @@
 	}
 }
 
-// writeNext writes one batch, if one is due, and reports whether it did.
+// writeNext writes one batch, if one is due, and reports whether it succeeded.
 func (r *shardRunner) writeNext(ctx context.Context) bool {
 	if r.Closed() || ctx.Err() != nil {
 		return false
@@ -120,9 +123,10 @@
 	}
 	records, err := r.encode(&b)
 	if err != nil {
-		klog.ErrorS(err, "A record can't be written", "shard", r.ID)
-		// Its refusal has the shard take no new jobs until a write succeeds, and none
-		// may follow: the next call finds out that the store is well.
+		klog.ErrorS(err, "Can't encode a batch of records", "shard", r.ID)
+		// After Rejected the shard refuses new jobs until a write succeeds, and there
+		// may be none left to write. So the next call probes the store, which confirms
+		// that it accepts writes.
 		r.storeUnavailable.Store(true)
 		r.Step(func(now time.Duration) owner.Effects { return r.Rejected(now, b, "encoding") })
 		return false
@@ -138,13 +142,14 @@
 		r.Step(func(now time.Duration) owner.Effects { return r.Rejected(now, b, "store_rejected") })
 		_ = pause.For(ctx, probeInterval)
 	default:
-		klog.InfoS("Gave a shard up", "shard", r.ID, "epoch", r.Epoch, "err", err)
+		klog.InfoS("Gave up a shard", "shard", r.ID, "epoch", r.Epoch, "err", err)
 		r.Step(func(time.Duration) owner.Effects { return r.Close() })
 	}
 	return false
 }
 
-// probe finds out whether a store that rejected the last write takes writes.
+// probe checks whether a store that rejected the last write accepts writes again. If so,
+// the shard accepts new jobs.
 func (r *shardRunner) probe(ctx context.Context) {
 	_ = pause.For(ctx, probeInterval)
 	if err := r.fence(ctx); err != nil {
@@ -154,8 +159,8 @@
 	r.Step(func(now time.Duration) owner.Effects { return r.Written(now, owner.Batch{}) })
 }
 
-// allowance spaces calls so that all owners together stay below what the store
-// takes. A call that comes after a pause goes at once.
+// throttle delays a write so that all owners together stay below the store's limit of
+// writes per second. After a pause, a few writes are not delayed; see writeBurst.
 func (r *shardRunner) throttle(ctx context.Context) {
 	interval := time.Duration(float64(time.Second) * float64(r.agent.settings.Shards()) / (writeShare * r.agent.settings.Store.WritesPerSecond))
 	now := bootclock.Now()
@@ -167,13 +172,15 @@
 }
 
 const (
-	// writeShare of the store's writes is for records of jobs; the rest is for
-	// registrations and memberships, and for repeats.
+	// writeShare is the part of the store's limit that is used for records of jobs.
+	// The rest is left for registrations, memberships and repeated writes.
 	writeShare = 0.8
-	// writeBurst is how many calls may follow one another after a pause.
+	// writeBurst is the burst of the rate limit: the number of write intervals that a
+	// pause may save up.
 	writeBurst = 3
 )
 
+// encode returns the store records of a batch.
 func (r *shardRunner) encode(b *owner.Batch) ([]store.Record, error) {
 	out := make([]store.Record, 0, len(b.Writes)+1)
 	for i := range b.Writes {
@@ -191,17 +198,17 @@
 	if b.Agents != nil {
 		value, err := json.Marshal(b.Agents)
 		if err != nil {
-			return nil, errors.Wrap(err, "agents of the shard")
+			return nil, errors.Wrap(err, "encode the agents of the shard")
 		}
 		out = append(out, store.Record{Key: agentsKey, Value: value})
 	}
 	return out, nil
 }
 
-// append writes one batch until its fate is known. A lost answer may hide a
-// write that was carried out, so the same call is repeated under the same
-// number until the store says what became of it. ErrRejected means that no
-// attempt was carried out.
+// append writes one batch and returns once its outcome is known or ctx ends. When an
+// answer is lost, the write may have been carried out, so the call is repeated with the
+// same sequence number, which makes it idempotent. ErrRejected means that no attempt
+// was carried out, and ErrFenced that the shard has a newer owner.
 func (r *shardRunner) append(ctx context.Context, records []store.Record) error {
 	r.producer.Sequence++
 	began := bootclock.Now()
@@ -230,7 +237,7 @@
 			r.storeUnavailable.Store(true)
 			r.MarkStoreUnavailable()
 		}
-		klog.V(1).InfoS("A write is repeated", "shard", r.ID, "after", took, "err", err)
+		klog.V(1).InfoS("Repeating a write", "shard", r.ID, "after", took, "err", err)
 		if errors.Is(err, store.ErrRejected) {
 			_ = pause.For(ctx, probeInterval)
 		}
@@ -238,7 +245,7 @@
 	}
 }
 
-// close ends the runner. The machine answers whoever waits.
+// close stops the runner and closes the shard, which answers all waiting requests.
 func (r *shardRunner) close() {
 	r.stop()
 	<-r.done
--- a/daemon/agent/shard_records.go
+++ b/daemon/agent/shard_records.go
@@ -13,14 +13,14 @@
 	"github.com/shallotstep/shallotstep/transport/metrics"
 )
 
-// load reads what the store has of a shard: its jobs, and the agents that may have runs
-// of it.
+// readRecords reads the records of a shard from the store. It returns the jobs and the agents that
+// may have runs of the shard. A job record that can't be decoded is skipped.
 func (r *shardRunner) readRecords(ctx context.Context) ([]*job.Record, []string, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*core.StoreTimeout)
 	defer cancel()
 	raw, _, err := r.agent.store.Newest(ctx, r.partition)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "load")
+		return nil, nil, errors.Wrap(err, "load the records of the shard")
 	}
 	var records []*job.Record
 	var agents []string
@@ -28,7 +28,7 @@
 		if rec.Key == agentsKey {
 			if err := json.Unmarshal(rec.Value, &agents); err != nil {
 				metrics.Malformed(metrics.KindAgents)
-				klog.ErrorS(err, "The agents of a shard can't be read; all that have ever registered are asked", "shard", r.partition)
+				klog.ErrorS(err, "Can't decode the agents of a shard; using all agents that have ever registered", "shard", r.partition)
 				if agents, err = r.registeredAgents(ctx); err != nil {
 					return nil, nil, err
 				}
@@ -38,7 +38,7 @@
 		j, err := wire.DecodeRecord(job.ID(rec.Key), rec.Value)
 		if err != nil {
 			metrics.Malformed(metrics.KindJobRecord)
-			klog.ErrorS(err, "A record can't be read and is left out", "shard", r.partition)
+			klog.ErrorS(err, "Skipping a job record that can't be decoded", "shard", r.partition)
 			continue
 		}
 		records = append(records, j)
@@ -46,11 +46,12 @@
 	return records, agents, nil
 }
 
-// everyAgent names all agents that may have runs of any shard.
+// registeredAgents returns the names of all agents that have ever registered. No other agent can
+// have runs of a shard.
 func (r *shardRunner) registeredAgents(ctx context.Context) ([]string, error) {
 	registered, _, err := r.agent.store.Newest(ctx, core.RegistryPartition)
 	if err != nil {
-		return nil, errors.Wrap(err, "agents")
+		return nil, errors.Wrap(err, "read the registered agents")
 	}
 	names := make([]string, 0, len(registered))
 	for _, reg := range registered {
--- a/daemon/agent/shard_test.go
+++ b/daemon/agent/shard_test.go
@@ -17,14 +17,15 @@
 	"github.com/shallotstep/shallotstep/transport/bootclock"
 )
 
-// acceptingStore takes every write.
+// acceptingStore accepts every write.
 type acceptingStore struct{ coretest.NoStore }
 
 func (acceptingStore) Append(context.Context, store.Partition, *store.Producer, []store.Record) (int64, error) {
 	return 0, nil
 }
 
-// newTestRunner returns the runner of a shard with one agent, whose writes the test makes.
+// newTestRunner returns the runner of a shard with one linked agent. The runner's goroutine is not
+// started, so the test has to call writeNext.
 func newTestRunner(st store.Store) *shardRunner {
 	s := &settings.Settings{Role: settings.RoleAgent, Name: "a", Store: settings.Store{Topics: 1, Partitions: coretest.Shards, WritesPerSecond: 1e6}}
 	a := New(s, st, core.DrainSource{}, nil)
@@ -42,7 +43,7 @@
 	return r
 }
 
-// submit has the runner take a job and write what is due.
+// submit submits a job to the runner, writes what is due, and returns the response.
 func (r *shardRunner) submit(id job.ID, payload string) owner.Response {
 	var got owner.Response
 	spec := job.Spec{Payload: payload, Steps: []job.Step{{Count: 1, Demand: job.Demand{CPUMillis: 100}}}}
@@ -54,9 +55,9 @@
 	return got
 }
 
-// One job's record can't be encoded, and the job is refused. The shard took the store for
-// unavailable from then on and refused all others, and since nothing was left to write it
-// never found out otherwise.
+// The record of one job can't be encoded, and that job is refused. The shard then took the store
+// for unavailable and refused all other jobs. It never recovered, because no write was left that
+// could succeed.
 func TestRecordThatCannotBeEncodedRefusesNoOtherJob(t *testing.T) {
 	is := is.New(t)
 	r := newTestRunner(acceptingStore{})
