--- a/daemon/agent/callers.go
+++ b/daemon/agent/callers.go
@@ -54,45 +54,45 @@
 	lastOrderAt time.Duration
 }
 
-func (n *callerState) recordOrder(now time.Duration) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.lastOrderAt = now
+func (s *callerState) recordOrder(now time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastOrderAt = now
 }
 
 // isPlacer reports whether the caller currently places work here.
-func (n *callerState) isPlacer(now time.Duration) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.lastOrderAt > 0 && now-n.lastOrderAt < placerTimeout
+func (s *callerState) isPlacer(now time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.lastOrderAt > 0 && now-s.lastOrderAt < placerTimeout
 }
 
 // loadDue reports whether the load has changed and the last frame was sent at least
 // pause ago, so that the load is sent in a frame of its own.
-func (n *callerState) loadDue(now time.Duration, level loadSummary, pause time.Duration) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.load != level && now-n.loadAt >= pause
+func (s *callerState) loadDue(now time.Duration, load loadSummary, pause time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.load != load && now-s.loadAt >= pause
 }
 
 // recordFrame records a frame with a load and reports whether the frame also has to
 // carry which shards are owned here.
-func (n *callerState) recordFrame(now time.Duration, level loadSummary) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.load, n.loadAt = level, now
-	if n.ownershipSentAt > 0 && now-n.ownershipSentAt < ownershipInterval {
+func (s *callerState) recordFrame(now time.Duration, load loadSummary) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.load, s.loadAt = load, now
+	if s.ownershipSentAt > 0 && now-s.ownershipSentAt < ownershipInterval {
 		return false
 	}
-	n.ownershipSentAt = now
+	s.ownershipSentAt = now
 	return true
 }
 
 // resetOwnership makes the next frame carry which shards are owned here.
-func (n *callerState) resetOwnership() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.ownershipSentAt = 0
+func (s *callerState) resetOwnership() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.ownershipSentAt = 0
 }
 
 // Complete implements peer.AgentHandler. Each frame carries the present load.
@@ -108,7 +108,7 @@
 	f.Load.Placers = a.placers.Load()
 	f.Load.Orders = a.orders.Load()
 	f.Drains = a.drains.Frame()
-	if n := a.stateOf(c); n != nil && n.recordFrame(now, summarizeLoad(&l)) {
+	if s := a.stateOf(c); s != nil && s.recordFrame(now, summarizeLoad(&l)) {
 		f.Owned, f.OwnedValid = a.ownership(), true
 	}
 }
@@ -116,12 +116,12 @@
 // sendChangedLoad sends a changed load to the callers that place work here.
 func (a *Agent) sendChangedLoad(now time.Duration) {
 	l := a.worker.Load(now)
-	level := summarizeLoad(&l)
+	load := summarizeLoad(&l)
 	placers := a.snapshotCallers()
-	maps.DeleteFunc(placers, func(_ *peer.Caller, n *callerState) bool { return !n.isPlacer(now) })
+	maps.DeleteFunc(placers, func(_ *peer.Caller, s *callerState) bool { return !s.isPlacer(now) })
 	a.placers.Store(int32(len(placers)))
-	for c, n := range placers {
-		if n.loadDue(now, level, time.Duration(len(placers))*loadIntervalPerPlacer) {
+	for c, s := range placers {
+		if s.loadDue(now, load, time.Duration(len(placers))*loadIntervalPerPlacer) {
 			c.Send(emptyFrame)
 		}
 	}
@@ -132,8 +132,8 @@
 
 // announceOwnership sends all callers at once which shards are owned here.
 func (a *Agent) announceOwnership() {
-	for c, n := range a.snapshotCallers() {
-		n.resetOwnership()
+	for c, s := range a.snapshotCallers() {
+		s.resetOwnership()
 		c.Send(emptyFrame)
 	}
 }
--- a/daemon/agent/notes.go
+++ b/daemon/agent/notes.go
@@ -92,7 +92,7 @@
 }
 
 // bestEffortOnly reports whether all runs of the earlier incarnations belong to best-effort jobs.
-func (e *storedState) bestEffortOnly() bool { return e.hasNotes && !e.hasMarker }
+func (s *storedState) bestEffortOnly() bool { return s.hasNotes && !s.hasMarker }
 
 // readNotes reads what the earlier incarnations of the agent have stored. Malformed notes are
 // ignored.
--- a/daemon/agent/placers.go
+++ b/daemon/agent/placers.go
@@ -42,51 +42,51 @@
 
 // restore adds the owners that an earlier incarnation has stored, except for nodes that have
 // already sent orders to this incarnation.
-func (l *recentPlacers) restore(now time.Duration, owners []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	dirty := l.dirty
+func (p *recentPlacers) restore(now time.Duration, owners []string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	dirty := p.dirty
 	for _, o := range owners {
-		if l.ownerByNode[worker.NodeOf(o)] == "" {
-			l.recordLocked(now, o)
+		if p.ownerByNode[worker.NodeOf(o)] == "" {
+			p.recordLocked(now, o)
 		}
 	}
-	l.dirty = dirty
+	p.dirty = dirty
 }
 
-func (l *recentPlacers) recordLocked(now time.Duration, owner string) {
+func (p *recentPlacers) recordLocked(now time.Duration, owner string) {
 	node := worker.NodeOf(owner)
-	l.dirty = l.dirty || l.ownerByNode[node] != owner
-	l.ownerByNode[node], l.lastOrder[node] = owner, now
+	p.dirty = p.dirty || p.ownerByNode[node] != owner
+	p.ownerByNode[node], p.lastOrder[node] = owner, now
 }
 
 // markDirty makes the notes due to be written again.
-func (l *recentPlacers) markDirty() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.dirty = true
+func (p *recentPlacers) markDirty() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.dirty = true
 }
 
 // record records that an owner has sent orders.
-func (l *recentPlacers) record(now time.Duration, owner string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.recordLocked(now, owner)
+func (p *recentPlacers) record(now time.Duration, owner string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.recordLocked(now, owner)
 }
 
 // writeDue reports whether the notes have to be written. It does so once for each change, and
 // then also drops the owners whose last order is older than placerRetention.
-func (l *recentPlacers) writeDue(now time.Duration) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.dirty || now-l.writtenAt < placersWriteInterval {
+func (p *recentPlacers) writeDue(now time.Duration) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !p.dirty || now-p.writtenAt < placersWriteInterval {
 		return false
 	}
-	l.dirty, l.writtenAt = false, now
-	maps.DeleteFunc(l.lastOrder, func(node string, at time.Duration) bool {
+	p.dirty, p.writtenAt = false, now
+	maps.DeleteFunc(p.lastOrder, func(node string, at time.Duration) bool {
 		old := now-at > placerRetention
 		if old {
-			delete(l.ownerByNode, node)
+			delete(p.ownerByNode, node)
 		}
 		return old
 	})
@@ -94,8 +94,8 @@
 }
 
 // owners returns the names of the recorded owners, sorted.
-func (l *recentPlacers) owners() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.Sorted(maps.Values(l.ownerByNode))
+func (p *recentPlacers) owners() []string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return slices.Sorted(maps.Values(p.ownerByNode))
 }
--- a/daemon/agent/registration.go
+++ b/daemon/agent/registration.go
@@ -29,24 +29,24 @@
 
 // restoreNotes reads the notes of earlier incarnations, applies them, and returns them.
 func (a *Agent) restoreNotes(ctx context.Context) storedState {
-	var e storedState
+	var s storedState
 	core.UntilDone(ctx, "Can't read the notes of earlier incarnations yet", func() error {
 		var err error
-		e, err = a.readNotes(ctx)
+		s, err = a.readNotes(ctx)
 		return err
 	})
 	if ctx.Err() != nil {
 		return storedState{}
 	}
-	a.recentPlacers.restore(bootclock.Now(), e.Owners)
-	a.registered.CompareAndSwap(nil, e.Registered)
-	if e.hasMarker {
+	a.recentPlacers.restore(bootclock.Now(), s.Owners)
+	a.registered.CompareAndSwap(nil, s.Registered)
+	if s.hasMarker {
 		a.markerStored.Store(true)
 	}
-	if e.bestEffortOnly() {
-		a.worker.Former(e.Owners)
+	if s.bestEffortOnly() {
+		a.worker.Former(s.Owners)
 	}
-	return e
+	return s
 }
 
 // maintainRegistration keeps the agent's registration up to date until the context ends. The
--- a/daemon/agent/serve.go
+++ b/daemon/agent/serve.go
@@ -63,8 +63,8 @@
 		c.Orders.Add(1)
 		a.orders.Add(1)
 	}
-	if n := a.stateOf(c); n != nil && len(f.GetOrders()) > 0 {
-		n.recordOrder(now)
+	if s := a.stateOf(c); s != nil && len(f.GetOrders()) > 0 {
+		s.recordOrder(now)
 		a.recentPlacers.record(now, c.Node)
 	}
 	for _, p := range f.GetStops() {
