--- a/coordination/load/world_test.go
+++ b/coordination/load/world_test.go
@@ -328,8 +328,8 @@
 	}
 	a.callers = nil
 	a.holding = false
-	a.Worker = worker.New(worker.Bounds{Lease: time.Second, OwnerSilence: 1300 * time.Millisecond, Relink: 700 * time.Millisecond, Adoption: 400 * time.Millisecond, Shards: shards})
-	a.Former(former)
+	a.Worker = worker.New(worker.Bounds{Lease: time.Second, OwnerTimeout: 1300 * time.Millisecond, ReconnectTimeout: 700 * time.Millisecond, AdoptionTimeout: 400 * time.Millisecond, Shards: shards})
+	a.SetFormerOwners(former)
 	a.report()
 	a.hold()
 }
@@ -338,7 +338,7 @@
 func (a *agent) report() {
 	instance := fmt.Sprintf("i-%s-%d", a.name, a.lives)
 	a.reports++
-	a.apply(a.Report(a.w.now, worker.Server{Instance: instance, Service: service, Capacity: a.capacity, Cold: a.cold, Seq: a.reports}, a.w.now.Milliseconds()))
+	a.apply(a.Report(a.w.now, worker.Server{Instance: instance, Service: service, Capacity: a.capacity, ColdRemaining: a.cold, Seq: a.reports}, a.w.now.Milliseconds()))
 }
 
 func (w *world) agent(name string) *agent {
@@ -437,15 +437,15 @@
 		case a.lives != lives:
 			return
 		}
-		h := worker.Holding{ClockMS: a.w.now.Milliseconds()}
+		h := worker.HoldResult{ClockMS: a.w.now.Milliseconds()}
 		for run := range a.running {
-			h.Active = append(h.Active, worker.Listed{Run: run})
+			h.Active = append(h.Active, worker.ListedRun{Run: run})
 		}
 		for len(a.ends) > 0 && a.ends[0].Seq <= c.Acked {
 			a.ends = a.ends[1:]
 		}
 		h.Ends = append(h.Ends, a.ends...)
-		a.apply(a.Held(a.w.now, c, h))
+		a.apply(a.HoldAnswered(a.w.now, c, h))
 		if len(a.ends) > 0 {
 			a.hold()
 		}
--- a/coordination/model/agent_test.go
+++ b/coordination/model/agent_test.go
@@ -233,10 +233,10 @@
 			a.w.after(20*time.Millisecond, func() { a.hold(life) })
 			return
 		}
-		var h worker.Holding
+		var h worker.HoldResult
 		a.call(func() bool { return a.exec.hold(life, c, &h) }, func(answered, ok bool) {
 			if answered && ok {
-				a.apply(a.worker.Held(a.w.now, c, h))
+				a.apply(a.worker.HoldAnswered(a.w.now, c, h))
 			} else {
 				a.apply(a.worker.HoldFailed(a.w.now, c, a.exec.failure(c, answered)))
 			}
--- a/coordination/model/executor_test.go
+++ b/coordination/model/executor_test.go
@@ -288,7 +288,7 @@
 	return true
 }
 
-func (e *executor) hold(life int64, c worker.HoldCall, h *worker.Holding) bool {
+func (e *executor) hold(life int64, c worker.HoldCall, h *worker.HoldResult) bool {
 	if !e.up || c.Instance != e.name() || e.fenced(life) {
 		return false
 	}
@@ -302,7 +302,7 @@
 	}
 	h.ClockMS = e.clock()
 	for task, number := range e.runs {
-		h.Active = append(h.Active, worker.Listed{Run: runOf(task, number)})
+		h.Active = append(h.Active, worker.ListedRun{Run: runOf(task, number)})
 	}
 	for _, end := range e.ends {
 		h.Ends = append(h.Ends, end.ListedEnd)
--- a/coordination/model/world_test.go
+++ b/coordination/model/world_test.go
@@ -315,9 +315,9 @@
 }
 
 func (w *world) workerBounds() worker.Bounds {
-	b := worker.Bounds{Lease: lease, OwnerSilence: ownerSilent, Relink: 700 * time.Millisecond, Adoption: 400 * time.Millisecond, Shards: 1}
+	b := worker.Bounds{Lease: lease, OwnerTimeout: ownerSilent, ReconnectTimeout: 700 * time.Millisecond, AdoptionTimeout: 400 * time.Millisecond, Shards: 1}
 	if w.m == noOwnerSilence {
-		b.OwnerSilence, b.Adoption = time.Hour, time.Hour
+		b.OwnerTimeout, b.AdoptionTimeout = time.Hour, time.Hour
 	}
 	return b
 }
--- a/coordination/owner/crash.go
+++ b/coordination/owner/crash.go
@@ -162,16 +162,16 @@
 }
 
 // caution returns how far a task must be kept apart from other runs.
-func (s *Shard) caution(rec *job.TaskRecord) worker.Caution {
+func (s *Shard) caution(rec *job.TaskRecord) worker.Isolation {
 	switch n := len(rec.Crashes); {
 	case n == 0:
-		return worker.NoCaution
+		return worker.NoIsolation
 	case n >= s.fleet.params.CrashesAlone:
-		return worker.Alone
+		return worker.Exclusive
 	case n >= s.fleet.params.CrashesApart:
-		return worker.Apart
+		return worker.ApartFromSuspects
 	}
-	return worker.NoCaution
+	return worker.NoIsolation
 }
 
 // avoidedAgents returns the agents that a task goes to only when no other is eligible: the one on
--- a/coordination/owner/crash_test.go
+++ b/coordination/owner/crash_test.go
@@ -42,7 +42,7 @@
 
 // reportLossOutcome reports what became of the lost server.
 func (f *fixture) reportLossOutcome(o Addressed[worker.Order], what worker.Loss) {
-	f.deliver(o, worker.RunState{Run: o.Value.Run, Status: worker.LossNews, Loss: what, Instance: "i-" + o.Node})
+	f.deliver(o, worker.RunState{Run: o.Value.Run, Status: worker.LossUpdate, Loss: what, Instance: "i-" + o.Node})
 }
 
 // advance advances the clock in ticks of 50 ms and writes the pending records.
@@ -65,12 +65,12 @@
 // task is not started again, and its job is reported as failed.
 func TestTaskUnderThreeCrashesIsGivenUp(t *testing.T) {
 	f := newCrashFixture(t)
-	cautions := []worker.Caution{worker.NoCaution, worker.Apart, worker.Alone}
+	cautions := []worker.Isolation{worker.NoIsolation, worker.ApartFromSuspects, worker.Exclusive}
 	been := make(map[string]bool)
 	o := f.submitSingle()
 	for i, want := range cautions {
 		f.is.Equal(len(f.orders), i+1)
-		f.is.Equal(o.Value.Caution, want)
+		f.is.Equal(o.Value.Isolation, want)
 		f.is.True(!been[o.Node])
 		been[o.Node] = true
 		f.reportLoss(o, 4-i, worker.LossConfirmed)
@@ -102,7 +102,7 @@
 		f.reportLossOutcome(o, worker.LossCleared)
 		f.write()
 		o = f.lastOrder()
-		f.is.Equal(o.Value.Caution, worker.Apart) // the outcome was not known when the order was sent
+		f.is.Equal(o.Value.Isolation, worker.ApartFromSuspects) // the outcome was not known when the order was sent
 		f.is.Equal(len(f.jobs[testID].rec.Tasks[0].Crashes), 0)
 	}
 	f.event(o, worker.Ended, job.Done)
@@ -119,7 +119,7 @@
 	f.reportLoss(f.lastOrder(), 2, worker.LossConfirmed)
 	f.event(f.lastOrder(), worker.Ended, job.FailedRun)
 	f.write()
-	f.is.Equal(f.lastOrder().Value.Caution, worker.NoCaution)
+	f.is.Equal(f.lastOrder().Value.Isolation, worker.NoIsolation)
 	f.reportLoss(f.lastOrder(), 1, worker.LossConfirmed)
 	f.is.Equal(f.Lookup(testID).State, job.Queued+1) // the job goes on
 	f.event(f.lastOrder(), worker.Ended, job.Done)
@@ -141,7 +141,7 @@
 	second := f.lastOrder()
 	f.reportLoss(neighbour, 2, worker.LossConfirmed)
 	rerun := f.lastOrder()
-	f.is.Equal(rerun.Value.Caution, worker.Apart)
+	f.is.Equal(rerun.Value.Isolation, worker.ApartFromSuspects)
 	f.reportLoss(second, 1, worker.LossConfirmed)
 	f.is.Equal(f.Lookup(testID).State, job.Failed)
 	f.is.Equal(len(f.jobs["00000000000000bb"].rec.Tasks[0].Crashes), 0)
@@ -157,7 +157,7 @@
 	}
 	f.reportLoss(f.lastOrder(), 1, worker.LossConfirmed)
 	f.is.True(!f.Lookup(testID).State.Final())
-	f.is.Equal(f.lastOrder().Value.Caution, worker.Alone)
+	f.is.Equal(f.lastOrder().Value.Isolation, worker.Exclusive)
 }
 
 // An owner dies after two servers were lost under a task. The next owner finds the crashes in
@@ -173,7 +173,7 @@
 	next := newCrashFixture(t, &rec)
 	next.advance(100 * time.Millisecond)
 	next.is.Equal(len(next.orders), 1)
-	next.is.Equal(next.lastOrder().Value.Caution, worker.Alone)
+	next.is.Equal(next.lastOrder().Value.Isolation, worker.Exclusive)
 	next.reportLoss(next.lastOrder(), 1, worker.LossConfirmed)
 	next.is.Equal(next.Lookup(testID).State, job.Failed)
 	next.is.Equal(len(next.orders), 1)
@@ -210,7 +210,7 @@
 	f.is.Equal(len(f.orders), 4)
 	f.advance(6 * time.Second)
 	f.is.Equal(len(f.orders), 5) // the last loss has been forgotten
-	f.is.Equal(f.lastOrder().Value.Caution, worker.NoCaution)
+	f.is.Equal(f.lastOrder().Value.Isolation, worker.NoIsolation)
 }
 
 // One task of a wide job crashes its servers. The other tasks go on as long as it may be
@@ -254,7 +254,7 @@
 	f.collect(f.Claimed(f.now, o.Node, worker.Claimed{Claim: claim, Lost: []worker.RunState{lostRunState(o, 3, worker.LossConfirmed)}}))
 	f.write()
 	f.is.Equal(len(f.orders), 3)
-	f.is.Equal(f.lastOrder().Value.Caution, worker.Alone)
+	f.is.Equal(f.lastOrder().Value.Isolation, worker.Exclusive)
 }
 
 // A task is cleared of one crash while another run of it is active. That run is lost with its
--- a/coordination/owner/dispatch.go
+++ b/coordination/owner/dispatch.go
@@ -55,7 +55,7 @@
 		Checkpoint:   j.rec.Task(id).Checkpoint,
 		MaxPerWorker: st.MaxPerWorker,
 		Once:         j.rec.Policy.AtMostOnce,
-		Caution:      s.caution(j.rec.Task(id)),
+		Isolation:    s.caution(j.rec.Task(id)),
 	}
 }
 
--- a/coordination/owner/events.go
+++ b/coordination/owner/events.go
@@ -20,7 +20,7 @@
 	if l := s.links[node]; l == nil || !l.claimed {
 		return fx
 	}
-	if e.State.Status == worker.LossNews {
+	if e.State.Status == worker.LossUpdate {
 		s.lossUpdateLocked(now, &fx, node, e.State)
 		return fx
 	}
--- a/coordination/owner/fleet.go
+++ b/coordination/owner/fleet.go
@@ -23,7 +23,7 @@
 	// Backlog is the waiting work in core time, and Ahead the part of it that has to start within
 	// each of worker.Bands.
 	Backlog time.Duration
-	Ahead   [len(worker.Bands)]time.Duration
+	Ahead   [len(worker.SlackBuckets)]time.Duration
 	// Slowdown is the ratio of measured to expected run times.
 	Slowdown float64
 	// Turnover is the mean time until the next running task ends.
@@ -46,7 +46,7 @@
 	if slack <= 0 {
 		return l.Backlog
 	}
-	for i, edge := range worker.Bands {
+	for i, edge := range worker.SlackBuckets {
 		if slack <= edge {
 			return l.Ahead[i]
 		}
@@ -75,7 +75,7 @@
 	Avoid []string
 	// Caution is set for a task that may crash its backend server. It is placed where few other
 	// runs and no other suspects are.
-	Caution worker.Caution
+	Caution worker.Isolation
 }
 
 // Fleet holds the state of the agents that this process has links to. It is shared by the shards of
@@ -115,7 +115,7 @@
 
 func (v *agentView) addPending(n PlacementRequest) {
 	v.sent++
-	v.pending = append(v.pending, pendingOrder{number: v.sent, at: n.Now, demand: n.Demand, work: coreTime(n), suspect: n.Caution != worker.NoCaution})
+	v.pending = append(v.pending, pendingOrder{number: v.sent, at: n.Now, demand: n.Demand, work: coreTime(n), suspect: n.Caution != worker.NoIsolation})
 }
 
 // removeLastPending undoes the last addPending.
--- a/coordination/owner/owner_test.go
+++ b/coordination/owner/owner_test.go
@@ -376,7 +376,7 @@
 	f := newFixture(t, nil, nil, "a")
 	f.fleet.Update(f.now, "a", AgentLoad{
 		Service: "desk", Capacity: job.Demand{CPUMillis: 16000, MemoryMB: 65536}, Accepts: true, Backlog: 16 * time.Second,
-		Ahead: [len(worker.Bands)]time.Duration{0, 0, 0, 16 * time.Second, 16 * time.Second, 16 * time.Second},
+		Ahead: [len(worker.SlackBuckets)]time.Duration{0, 0, 0, 16 * time.Second, 16 * time.Second, 16 * time.Second},
 	})
 	got := f.submit(testID, steps(1))
 	f.is.Equal((*got)[0].Reason, ReasonOverload)
--- a/coordination/owner/waiting.go
+++ b/coordination/owner/waiting.go
@@ -26,7 +26,7 @@
 	st := &j.rec.Spec.Steps[id.Step]
 	n := s.placementRequest(&j.rec.Policy, st)
 	key := placementKeyOf(&j.rec.Policy, st)
-	key.suspect = s.caution(j.rec.Task(id)) != worker.NoCaution
+	key.suspect = s.caution(j.rec.Task(id)) != worker.NoIsolation
 	return waitingTask{id: id, key: key, late: j.late, latestStart: j.due - n.Estimate, work: coreTime(n)}
 }
 
--- a/coordination/worker/capacity.go
+++ b/coordination/worker/capacity.go
@@ -14,15 +14,15 @@
 // reports whether the capacity has changed. A report older than the last one applied is ignored:
 // answers and reports may arrive out of order, and a stale one would give out capacity that no
 // longer exists.
-func (w *Worker) sayLocked(capacity job.Demand, clockMS int64) bool {
-	if clockMS < w.saidAt {
+func (w *Worker) updateCapacityLocked(capacity job.Demand, clockMS int64) bool {
+	if clockMS < w.capacityAtMS {
 		return false
 	}
-	w.saidAt = clockMS
+	w.capacityAtMS = clockMS
 	if capacity == w.server.Capacity {
 		return false
 	}
-	w.varies = true
+	w.capacityChanged = true
 	w.stats.Resized++
 	w.server.Capacity = capacity
 	return true
@@ -31,10 +31,10 @@
 // Varies reports whether the present instance has changed its capacity since it first reported. A
 // capacity that an earlier incarnation of the agent stored for such an instance may be too large by
 // now.
-func (w *Worker) Varies() bool {
+func (w *Worker) CapacityChanged() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.varies
+	return w.capacityChanged
 }
 
 // excess estimates how many runs have to end before one more fits, from their mean demand. It is
@@ -55,7 +55,7 @@
 
 // overfullWait is the longest expected wait for which an order that is already late stays at an
 // overcommitted server. Owners reserve capacity for a task for as long.
-const overfullWait = 25 * time.Millisecond
+const overcommittedWait = 25 * time.Millisecond
 
 // returnUnfitLocked returns the waiting orders that no longer fit, or can't start in time, after
 // the capacity has shrunk.
@@ -68,7 +68,7 @@
 			w.dropLocked(fx, id, r, job.NeverRan, reasonTooLarge)
 			continue
 		}
-		if w.betterElsewhereLocked(now, r) {
+		if w.shouldReturnLocked(now, r) {
 			w.stats.Returned++
 			w.dropLocked(fx, id, r, job.NeverRan, ReasonNoRoom)
 		}
--- a/coordination/worker/capacity_test.go
+++ b/coordination/worker/capacity_test.go
@@ -106,7 +106,7 @@
 	// Answers to holds are ordered with the reports by the server's clock.
 	c, _ := f.Hold(f.now)
 	f.advance(10 * time.Millisecond)
-	f.collect(f.Held(f.now, c, Holding{ClockMS: f.clock, Capacity: &job.Demand{CPUMillis: 800, MemoryMB: 1000}}))
+	f.collect(f.HoldAnswered(f.now, c, HoldResult{ClockMS: f.clock, Capacity: &job.Demand{CPUMillis: 800, MemoryMB: 1000}}))
 	f.is.Equal(f.freeCPU(), int64(800))
 	f.reportCapacityAt(8, 3200, f.clock-5) // reported before that answer
 	f.is.Equal(f.freeCPU(), int64(800))
@@ -133,11 +133,11 @@
 	is := is.New(t)
 	f := newFixture(t)
 	f.reportCapacity(2, 0)
-	is.True(f.Varies())
+	is.True(f.CapacityChanged())
 	f.clock = 3
 	f.report("i-2", 0, false)
 	is.Equal(f.freeCPU(), int64(3200))
-	is.True(!f.Varies())
+	is.True(!f.CapacityChanged())
 }
 
 // The excess counts the runs that have to end before another one fits. Runs differ in size, and
--- a/coordination/worker/claims.go
+++ b/coordination/worker/claims.go
@@ -42,12 +42,12 @@
 	w.forgetOwnersLocked(now)
 	out := Claimed{Claim: c}
 	if c.Shard >= w.bounds.Shards {
-		w.replacedLocked(now, &out.Effects, c.Owner)
+		w.ownerReplacedLocked(now, &out.Effects, c.Owner)
 	}
 	for _, r := range w.runs {
 		if r.order.Shard == c.Shard {
 			r.order.Epoch = c.Epoch
-		} else if r.known || c.Shard < w.bounds.Shards {
+		} else if r.orderKnown || c.Shard < w.bounds.Shards {
 			// A run of an earlier incarnation is reported only to the shard that its job ID maps to
 			// and to the private shards of best-effort jobs. Any other shard would settle its end
 			// as unknown before the owner has recorded it.
@@ -55,19 +55,19 @@
 		}
 		out.Runs = append(out.Runs, r.state())
 	}
-	out.Lost = w.lostForLocked(c)
+	out.Lost = w.lostRunsLocked(c)
 	return out
 }
 
 // ownerMemory is how long the epoch of a silent owner is kept. It is longer than any order of that
 // owner can be in transit.
-const ownerMemory = time.Minute
+const ownerRetention = time.Minute
 
 // forgetOwnersLocked drops the state of shards whose owners have been silent for longer than
 // ownerRetention.
 func (w *Worker) forgetOwnersLocked(now time.Duration) {
 	for id, s := range w.shards {
-		if now-s.heard > ownerMemory {
+		if now-s.heard > ownerRetention {
 			delete(w.shards, id)
 		}
 	}
@@ -103,7 +103,7 @@
 	defer w.mu.Unlock()
 	for _, s := range w.shards {
 		if s.owner == owner {
-			s.heard = min(s.heard, now-w.bounds.OwnerSilence+w.bounds.Relink)
+			s.heard = min(s.heard, now-w.bounds.OwnerTimeout+w.bounds.ReconnectTimeout)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 		if s.owner != owner {
 			continue
 		}
-		if now-s.heard >= w.bounds.OwnerSilence {
+		if now-s.heard >= w.bounds.OwnerTimeout {
 			s.owner = ""
 			inTime = false
 			continue
--- a/coordination/worker/crash.go
+++ b/coordination/worker/crash.go
@@ -31,24 +31,24 @@
 
 // Caution is how strictly a run is isolated from others on its server, so that the next crash
 // narrows down which run caused it.
-type Caution uint8
+type Isolation uint8
 
 const (
 	// NoCaution allows the run beside any other.
-	NoCaution Caution = iota
+	NoIsolation Isolation = iota
 	// Apart forbids the run beside another suspect.
-	Apart
+	ApartFromSuspects
 	// Alone forbids any other run on the server for as long as the run is expected to take.
-	Alone
+	Exclusive
 )
 
 const (
 	// lostMemory is how long the runs that were lost with a server are remembered. It is longer
 	// than a backend server takes to come back and an owner takes to reach an agent again.
-	lostMemory = time.Minute
+	lostRetention = time.Minute
 	// mostLost bounds the number of lost servers that are remembered. A server that crashes as soon
 	// as it is up does so every few seconds.
-	mostLost = 8
+	maxLostServers = 8
 )
 
 // lostServer is an instance that was lost, with the runs that were lost with it and what is known
@@ -56,7 +56,7 @@
 type lostServer struct {
 	instance string
 	at       time.Duration
-	what     Loss
+	loss     Loss
 	runs     []lostRun
 }
 
@@ -73,45 +73,45 @@
 
 // blameless reports whether the loss of the backend server is planned and therefore doesn't make
 // its runs suspects.
-func (w *Worker) blameless() bool { return w.server.Draining || w.closing }
+func (w *Worker) plannedShutdown() bool { return w.server.Draining || w.agentDraining }
 
 // loseLocked ends a run that was lost with its server. suspects is the number of runs on the
 // server, any of which may be the cause. With NotLost the run lapses without a loss being reported.
-func (w *Worker) loseLocked(now time.Duration, fx *Effects, id job.RunID, r *run, what Loss, suspects int, reason string) {
-	if what == NotLost || !r.occupies() {
+func (w *Worker) endLostLocked(now time.Duration, fx *Effects, id job.RunID, r *run, loss Loss, suspects int, reason string) {
+	if loss == NotLost || !r.occupies() {
 		w.dropLocked(fx, id, r, job.Lapsed, reason)
 		return
 	}
-	lost := w.lostServerLocked(now, what)
+	lost := w.lostServerLocked(now, loss)
 	lost.runs = append(lost.runs, lostRun{shard: r.order.Shard, epoch: r.order.Epoch, run: id, suspects: suspects})
-	r.loss, r.suspects = what, suspects
+	r.loss, r.suspects = loss, suspects
 	w.dropLocked(fx, id, r, job.Lapsed, reason)
 }
 
 // lostServerLocked returns the record of the present instance as lost at now, and creates it if
 // there is none.
-func (w *Worker) lostServerLocked(now time.Duration, what Loss) *lostServer {
-	if n := len(w.lost); n > 0 && w.lost[n-1].at == now && w.lost[n-1].instance == w.server.Instance {
-		return w.lost[n-1]
+func (w *Worker) lostServerLocked(now time.Duration, loss Loss) *lostServer {
+	if n := len(w.lostServers); n > 0 && w.lostServers[n-1].at == now && w.lostServers[n-1].instance == w.server.Instance {
+		return w.lostServers[n-1]
 	}
-	if len(w.lost) == mostLost {
-		w.lost = slices.Delete(w.lost, 0, 1)
+	if len(w.lostServers) == maxLostServers {
+		w.lostServers = slices.Delete(w.lostServers, 0, 1)
 	}
-	lost := &lostServer{instance: w.server.Instance, at: now, what: what}
-	w.lost = append(w.lost, lost)
+	lost := &lostServer{instance: w.server.Instance, at: now, loss: loss}
+	w.lostServers = append(w.lostServers, lost)
 	return lost
 }
 
 // explainLocked reports to the owners of runs that were lost with the present instance whether the
 // suspected loss is confirmed or cleared.
-func (w *Worker) explainLocked(fx *Effects, what Loss) {
-	for _, lost := range w.lost {
-		if lost.instance != w.server.Instance || lost.what != LossSuspected {
+func (w *Worker) resolveLossLocked(fx *Effects, loss Loss) {
+	for _, lost := range w.lostServers {
+		if lost.instance != w.server.Instance || lost.loss != LossSuspected {
 			continue
 		}
-		lost.what = what
+		lost.loss = loss
 		for _, r := range lost.runs {
-			state := RunState{Run: r.run, Status: LossNews, Loss: what, Instance: lost.instance}
+			state := RunState{Run: r.run, Status: LossUpdate, Loss: loss, Instance: lost.instance}
 			fx.Events = append(fx.Events, Event{Shard: r.shard, Epoch: r.epoch, State: state})
 		}
 	}
@@ -121,9 +121,9 @@
 // reported them may have been lost with the previous link or the previous owner. The new owner
 // would take runs that are merely absent for not started, and retry them as if no server had been
 // lost under them.
-func (w *Worker) lostForLocked(c Claim) []RunState {
+func (w *Worker) lostRunsLocked(c Claim) []RunState {
 	var out []RunState
-	for _, lost := range w.lost {
+	for _, lost := range w.lostServers {
 		for i := range lost.runs {
 			r := &lost.runs[i]
 			if r.shard != c.Shard {
@@ -131,7 +131,7 @@
 			}
 			r.epoch = c.Epoch
 			out = append(out, RunState{
-				Run: r.run, Status: Ended, End: job.Lapsed, Loss: lost.what, Instance: lost.instance, Suspects: r.suspects,
+				Run: r.run, Status: Ended, End: job.Lapsed, Loss: lost.loss, Instance: lost.instance, Suspects: r.suspects,
 			})
 		}
 	}
@@ -140,14 +140,14 @@
 
 // forgetLostLocked forgets servers that were lost more than lostMemory ago.
 func (w *Worker) forgetLostLocked(now time.Duration) {
-	w.lost = slices.DeleteFunc(w.lost, func(l *lostServer) bool { return now-l.at > lostMemory })
+	w.lostServers = slices.DeleteFunc(w.lostServers, func(l *lostServer) bool { return now-l.at > lostRetention })
 }
 
 // reservedLocked reports whether the backend server is reserved for one exclusive run, which is
 // either active or waiting for the others to end.
 func (w *Worker) reservedLocked(now time.Duration) bool {
 	for _, r := range w.runs {
-		if r.order.Caution == Alone && (r.phase == waiting || r.occupies() && r.keepsOthersOff(now)) {
+		if r.order.Isolation == Exclusive && (r.phase == waiting || r.occupies() && r.runsExclusively(now)) {
 			return true
 		}
 	}
@@ -156,23 +156,23 @@
 
 // keepsOthersOff reports whether the run still has the server to itself. It does so for its
 // expected run time only: a task that takes much longer would otherwise block its server.
-func (r *run) keepsOthersOff(now time.Duration) bool {
-	return r.order.Caution == Alone && now-r.startedAt < max(r.order.Estimate, leastAlone)
+func (r *run) runsExclusively(now time.Duration) bool {
+	return r.order.Isolation == Exclusive && now-r.startedAt < max(r.order.Estimate, minExclusive)
 }
 
 // leastAlone is the minimum time for which an exclusive run has the server to itself. Estimates are
 // off by a third, and a crash a few milliseconds after the expected end would make other runs
 // suspects.
-const leastAlone = 150 * time.Millisecond
+const minExclusive = 150 * time.Millisecond
 
 // admits reports whether the isolation rules allow an order to start beside the runs on the server.
 func (o *occupancy) admits(order *Order) bool {
 	switch {
-	case o.closed:
+	case o.exclusive:
 		return false
-	case order.Caution == Alone:
+	case order.Isolation == Exclusive:
 		return o.runs == 0
-	case order.Caution == Apart:
+	case order.Isolation == ApartFromSuspects:
 		return o.suspects == 0
 	}
 	return true
@@ -180,10 +180,10 @@
 
 // cautiousLocked returns the number of active and waiting runs of tasks under which servers were
 // lost.
-func (w *Worker) cautiousLocked() int {
+func (w *Worker) suspectsLocked() int {
 	n := 0
 	for _, r := range w.runs {
-		if r.phase != ended && r.order.Caution != NoCaution {
+		if r.phase != ended && r.order.Isolation != NoIsolation {
 			n++
 		}
 	}
--- a/coordination/worker/crash_test.go
+++ b/coordination/worker/crash_test.go
@@ -50,7 +50,7 @@
 	}
 	f.advance(2 * time.Second)
 	f.report("i-2", 1, false)
-	news := f.losses(LossNews)
+	news := f.losses(LossUpdate)
 	f.is.Equal(len(news), 2)
 	f.is.Equal(news[0].Loss, LossConfirmed)
 }
@@ -62,7 +62,7 @@
 	f.send(f.order(0))
 	f.report("i-2", 1, false)
 	f.is.Equal(f.losses(Ended)[0].Loss, LossConfirmed)
-	f.is.Equal(len(f.losses(LossNews)), 0)
+	f.is.Equal(len(f.losses(LossUpdate)), 0)
 }
 
 // A backend server is cut off for longer than its lease, or its host is suspended, and it
@@ -74,7 +74,7 @@
 	f.crashServer()
 	f.is.Equal(f.losses(Ended)[0].Loss, LossSuspected)
 	f.hold()
-	news := f.losses(LossNews)
+	news := f.losses(LossUpdate)
 	f.is.Equal(len(news), 1)
 	f.is.Equal(news[0].Loss, LossCleared)
 }
@@ -85,7 +85,7 @@
 	for name, end := range map[string]func(*fixture){
 		"draining": func(f *fixture) { f.report("i-1", 2, true); f.crashServer(); f.report("i-2", 1, false) },
 		"replaced": func(f *fixture) { f.report("i-1", 2, true); f.report("i-2", 1, false) },
-		"left":     func(f *fixture) { f.collect(f.Left("i-1")); f.report("i-2", 1, false) },
+		"left":     func(f *fixture) { f.collect(f.Deregistered("i-1")); f.report("i-2", 1, false) },
 		"stopping": func(f *fixture) { f.Drain(); f.crashServer(); f.report("i-2", 1, false) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -93,7 +93,7 @@
 			f.send(f.order(0))
 			end(f)
 			f.is.Equal(len(f.losses(Ended)), 0)
-			f.is.Equal(len(f.losses(LossNews)), 0)
+			f.is.Equal(len(f.losses(LossUpdate)), 0)
 		})
 	}
 }
@@ -116,7 +116,7 @@
 	f.is.Equal(f.events[len(f.events)-1].Epoch, int64(6))
 	// The link that carried the report was lost, and a new one is made.
 	f.is.Equal(f.claim(recordedShard, 6, 3).Lost[0].Loss, LossConfirmed)
-	f.advance(lostMemory + time.Second)
+	f.advance(lostRetention + time.Second)
 	f.collect(f.Tick(f.now))
 	f.is.Equal(len(f.claim(recordedShard, 6, 4).Lost), 0)
 }
@@ -126,7 +126,7 @@
 func TestSuspectsAreKeptApart(t *testing.T) {
 	f := newFixture(t)
 	first, second := f.order(0), f.order(1)
-	first.Caution, second.Caution = Apart, Apart
+	first.Isolation, second.Isolation = ApartFromSuspects, ApartFromSuspects
 	f.send(first)
 	f.is.Equal(len(f.send(second).Starts), 0)
 	f.is.Equal(len(f.send(f.order(2)).Starts), 1) // runs without caution still start
@@ -144,7 +144,7 @@
 	f := newFixture(t)
 	f.send(f.order(0))
 	suspect := f.order(1)
-	suspect.Caution = Alone
+	suspect.Isolation = Exclusive
 	f.is.Equal(len(f.send(suspect).Starts), 0)
 	f.is.Equal(f.Load(f.now).Free, job.Demand{})
 	other := f.order(2)
@@ -167,10 +167,10 @@
 	f := newFixture(t)
 	f.send(f.order(0))
 	f.crashServer()
-	f.advance(lostMemory + time.Second)
+	f.advance(lostRetention + time.Second)
 	f.collect(f.Tick(f.now))
 	f.report("i-2", 1, false)
-	is.Equal(len(f.losses(LossNews)), 0)
+	is.Equal(len(f.losses(LossUpdate)), 0)
 }
 
 // A backend server is cut off until its lease has expired, returns, and crashes later under
--- a/coordination/worker/former.go
+++ b/coordination/worker/former.go
@@ -25,40 +25,40 @@
 // Without this, the end of such a run waits for the owner of the shard that its job ID maps to and
 // blocks the acknowledgement of all later ends. Where no job is recorded, no such owner ever
 // claims, and a full list of ends would stop the agent for good.
-func (w *Worker) Former(owners []string) {
+func (w *Worker) SetFormerOwners(owners []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.formerEffort = true
-	w.former = make(map[string]string, len(owners))
+	w.formerBestEffort = true
+	w.formerOwners = make(map[string]string, len(owners))
 	for _, o := range owners {
-		w.former[NodeOf(o)] = o
+		w.formerOwners[NodeOf(o)] = o
 	}
 }
 
 // replacedLocked notes that an owner has claimed a private shard, and stops the runs of earlier
 // incarnations of the same node.
-func (w *Worker) replacedLocked(now time.Duration, fx *Effects, owner string) {
+func (w *Worker) ownerReplacedLocked(now time.Duration, fx *Effects, owner string) {
 	node := NodeOf(owner)
 	for id, s := range w.shards {
 		if id >= w.bounds.Shards && s.owner != owner && NodeOf(s.owner) == node {
-			s.heard = min(s.heard, now-w.bounds.OwnerSilence)
+			s.heard = min(s.heard, now-w.bounds.OwnerTimeout)
 		}
 	}
-	if life, ok := w.former[node]; ok && life != owner {
-		delete(w.former, node)
-		if len(w.former) == 0 {
-			w.disownLocked(now)
+	if life, ok := w.formerOwners[node]; ok && life != owner {
+		delete(w.formerOwners, node)
+		if len(w.formerOwners) == 0 {
+			w.expireAdoptionLocked(now)
 		}
 	}
-	w.silenceLocked(now, fx)
+	w.enforceOwnerTimeoutLocked(now, fx)
 }
 
 // disownLocked ends the adoption period of runs that an earlier incarnation of this agent started,
 // because all owners they could belong to are gone.
-func (w *Worker) disownLocked(now time.Duration) {
+func (w *Worker) expireAdoptionLocked(now time.Duration) {
 	for _, r := range w.runs {
-		if !r.known {
-			r.startedAt = min(r.startedAt, now-w.bounds.Adoption)
+		if !r.orderKnown {
+			r.startedAt = min(r.startedAt, now-w.bounds.AdoptionTimeout)
 		}
 	}
 }
@@ -69,11 +69,11 @@
 
 // Orphaned reports whether the end of a run of an earlier incarnation waits for an owner that has
 // not claimed here.
-func (w *Worker) Orphaned(now time.Duration) bool {
+func (w *Worker) HasOrphanedEnds(now time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, r := range w.ends {
-		if !r.known && !r.end.settled && !w.formerEffort && now-r.startedAt > orphanAfter {
+	for _, r := range w.unackedEnds {
+		if !r.orderKnown && !r.end.settled && !w.formerBestEffort && now-r.startedAt > orphanAfter {
 			return true
 		}
 	}
--- a/coordination/worker/former_test.go
+++ b/coordination/worker/former_test.go
@@ -13,7 +13,7 @@
 // The run belongs to one of two entries whose orders its previous incarnation accepted.
 func newFixtureWithFormerRun(t *testing.T) (*fixture, job.RunID) {
 	f := newFixture(t)
-	f.Former([]string{"entry-1/old", "entry-2/old"})
+	f.SetFormerOwners([]string{"entry-1/old", "entry-2/old"})
 	run := job.RunID{Task: job.TaskID{Job: "00000000000000ee"}, Number: 1}
 	f.active[run] = true
 	f.hold()
@@ -42,7 +42,7 @@
 	f.claimAs("entry-1/new", bestEffortShard+1)
 	f.claimAs("entry-2/old", bestEffortShard+2)
 	f.is.Equal(len(f.stops), 0)
-	f.advance(testBounds.Adoption + time.Millisecond)
+	f.advance(testBounds.AdoptionTimeout + time.Millisecond)
 	f.collect(f.Tick(f.now))
 	f.is.Equal(len(f.stops), 1)
 }
@@ -73,19 +73,19 @@
 // than answers usually take.
 func TestPatienceFollowsTheAnswers(t *testing.T) {
 	is := is.New(t)
-	var a answerTimes
-	is.Equal(a.patience(), mostPatience)
+	var a responseTimes
+	is.Equal(a.timeout(), maxResponseTimeout)
 	for i := range 60 {
-		a.learn(time.Duration(2+i%3) * time.Millisecond)
+		a.observe(time.Duration(2+i%3) * time.Millisecond)
 	}
-	is.Equal(a.patience(), leastPatience)
-	a.missed()
-	is.True(a.patience() < 2*leastPatience)
+	is.Equal(a.timeout(), minResponseTimeout)
+	a.timedOut()
+	is.True(a.timeout() < 2*minResponseTimeout)
 	// The host becomes slow: no answer arrives in time until the time-out has grown.
 	for range 12 {
-		a.missed()
+		a.timedOut()
 	}
-	is.Equal(a.patience(), mostPatience)
+	is.Equal(a.timeout(), maxResponseTimeout)
 }
 
 // All processes were killed in a deployment without recorded jobs, so no owner ever claims a
@@ -94,7 +94,7 @@
 // served.
 func TestEndsOfAnEarlierIncarnationDoNotBlock(t *testing.T) {
 	f := newFixture(t)
-	f.Former([]string{"entry-1/old"})
+	f.SetFormerOwners([]string{"entry-1/old"})
 	old := job.RunID{Task: job.TaskID{Job: "00000000000000ee"}, Number: 1}
 	f.active[old] = true
 	f.hold()
@@ -103,7 +103,7 @@
 	f.is.Equal(f.hold().Acked, int64(1))
 	found := f.Claim(f.now, Claim{Shard: bestEffortShard + 1, Epoch: 1, Session: 1, Owner: "entry-1/old"})
 	f.is.Equal(len(found.Runs), 1) // its entry may still be alive and claim it
-	f.is.True(!f.Orphaned(f.now + 2*orphanAfter))
+	f.is.True(!f.HasOrphanedEnds(f.now + 2*orphanAfter))
 }
 
 // Runs from before the agent's restart may be of recorded jobs. The end of such a run is not
@@ -117,8 +117,8 @@
 	f.endRun(old, job.Done)
 	f.hold()
 	f.is.Equal(f.hold().Acked, int64(0))
-	f.is.True(!f.Orphaned(f.now))
-	f.is.True(f.Orphaned(f.now + 2*orphanAfter))
+	f.is.True(!f.HasOrphanedEnds(f.now))
+	f.is.True(f.HasOrphanedEnds(f.now + 2*orphanAfter))
 }
 
 // A backend server answers quickly for a while. Then a job whose tasks may not be repeated
@@ -127,12 +127,12 @@
 func TestStartThatMayNotBeRepeatedIsWaitedForLonger(t *testing.T) {
 	f := newFixture(t)
 	for range 60 {
-		f.answers.learn(2 * time.Millisecond)
+		f.responses.observe(2 * time.Millisecond)
 	}
 	usual, once := f.order(1), f.order(2)
 	once.Once = true
-	f.is.Equal(f.collect(f.Order(f.now, usual)).Starts[0].Patience, leastPatience)
-	f.is.Equal(f.collect(f.Order(f.now, once)).Starts[0].Patience, mostPatience)
+	f.is.Equal(f.collect(f.Order(f.now, usual)).Starts[0].ResponseTimeout, minResponseTimeout)
+	f.is.Equal(f.collect(f.Order(f.now, once)).Starts[0].ResponseTimeout, maxResponseTimeout)
 }
 
 // A backend server on a busy host answers starts in 2 ms, but takes 60 ms to list a thousand
@@ -141,14 +141,14 @@
 func TestListsThatAreSlowAreWaitedFor(t *testing.T) {
 	f := newFixture(t)
 	for range 60 {
-		f.answers.learn(2 * time.Millisecond)
+		f.responses.observe(2 * time.Millisecond)
 	}
-	for want := leastPatience; want < mostPatience; want *= 2 {
+	for want := minResponseTimeout; want < maxResponseTimeout; want *= 2 {
 		c, ok := f.Hold(f.now)
 		f.is.True(ok)
-		f.is.True(c.Patience >= want)
+		f.is.True(c.ResponseTimeout >= want)
 		f.collect(f.HoldFailed(f.now, c, NoAnswer))
 	}
 	c, _ := f.Hold(f.now)
-	f.is.Equal(c.Patience, mostPatience)
+	f.is.Equal(c.ResponseTimeout, maxResponseTimeout)
 }
--- a/coordination/worker/health.go
+++ b/coordination/worker/health.go
@@ -10,45 +10,47 @@
 	// fail by their own fault about twice in a thousand, so three failures in a row are not a
 	// coincidence. Until a server that fails every run is suspended, it costs three jobs an attempt
 	// each.
-	failuresInRow = 3
+	maxConsecutiveFailures = 3
 	// suspension is the first backoff before a suspended backend server is probed with one run. It
 	// doubles up to maxSuspension. A longer backoff leaves the capacity of a recovered server
 	// unused; each probe of a broken one costs one attempt of one task.
-	suspension    = 300 * time.Millisecond
+	minSuspension = 300 * time.Millisecond
 	maxSuspension = 1200 * time.Millisecond
 )
 
 // health assesses a backend server by how its runs end. A server that fails runs at once looks idle
 // and would attract all the work, like a black hole. Guarded by Worker.mu.
 type health struct {
-	row       int
-	suspended bool
-	until     time.Duration
-	pause     time.Duration
+	consecutiveFailures int
+	suspended           bool
+	suspendedUntil      time.Duration
+	backoff             time.Duration
 	// ratio is the moving average of actual over expected run time; zero before the first run.
-	ratio   float64
-	learned time.Duration
+	runTimeRatio float64
+	ratioAt      time.Duration
 	// coldUntil is when the server stops being cold, according to its last report.
 	coldUntil time.Duration
 }
 
 func (h *health) failed(now time.Duration) {
-	h.row++
-	if h.row < failuresInRow {
+	h.consecutiveFailures++
+	if h.consecutiveFailures < maxConsecutiveFailures {
 		return
 	}
 	h.suspend(now)
 }
 
 func (h *health) suspend(now time.Duration) {
-	h.row = failuresInRow
-	h.pause = min(max(2*h.pause, suspension), maxSuspension)
+	h.consecutiveFailures = maxConsecutiveFailures
+	h.backoff = min(max(2*h.backoff, minSuspension), maxSuspension)
 	h.suspended = true
-	h.until = now + h.pause
+	h.suspendedUntil = now + h.backoff
 }
 
 // done resets the failure count and the suspension after a successful run.
-func (h *health) done() { *h = health{ratio: h.ratio, learned: h.learned, coldUntil: h.coldUntil} }
+func (h *health) done() {
+	*h = health{runTimeRatio: h.runTimeRatio, ratioAt: h.ratioAt, coldUntil: h.coldUntil}
+}
 
 // ratioWeight is the weight of one run in the moving average. About the last ten runs count, which
 // take a busy server a quarter of a second.
@@ -58,30 +60,30 @@
 // late, on a busy host some tens of milliseconds. It is added and not applied as a factor: a factor
 // taken from tasks of 5 ms would make a server look ten times slower, and tasks of seconds would be
 // refused although servers are idle. A server that is really slow is still detected.
-const noticeDelay = 50 * time.Millisecond
+const detectionDelay = 50 * time.Millisecond
 
-func (h *health) learn(now, work, expected time.Duration) {
+func (h *health) observe(now, work, expected time.Duration) {
 	if work <= 0 || expected <= 0 {
 		return
 	}
-	ratio := float64(work) / float64(expected+noticeDelay)
-	if h.ratio == 0 {
-		h.ratio = 1
+	ratio := float64(work) / float64(expected+detectionDelay)
+	if h.runTimeRatio == 0 {
+		h.runTimeRatio = 1
 	}
-	h.learned = now
-	h.ratio += ratioWeight * (ratio - h.ratio)
+	h.ratioAt = now
+	h.runTimeRatio += ratioWeight * (ratio - h.runTimeRatio)
 }
 
 // slowMemory is the time constant with which a slowdown decays without new runs. Owners don't use a
 // slow server while others are faster, so it has no chance to show that it has recovered and would
 // otherwise stay idle for good.
-const slowMemory = time.Second
+const slowdownDecay = time.Second
 
 // slowdown returns the decayed ratio, or 1 if it is below 1.5: estimates are off by a third, so a
 // smaller ratio is not significant.
 func (h *health) slowdown(now time.Duration) float64 {
-	age := float64(now-h.learned) / float64(slowMemory)
-	ratio := 1 + (h.ratio-1)*math.Exp(-age)
+	age := float64(now-h.ratioAt) / float64(slowdownDecay)
+	ratio := 1 + (h.runTimeRatio-1)*math.Exp(-age)
 	if ratio < 1.5 {
 		return 1
 	}
@@ -94,14 +96,14 @@
 // expectCold sets how much longer the server reports to be cold. A cold server is assumed to be
 // slow from its first run on. Otherwise it would get its full share of the work until some runs
 // have ended, and all of these would be late.
-func (h *health) expectCold(now, cold time.Duration) {
-	was := now < h.coldUntil
+func (h *health) setCold(now, cold time.Duration) {
+	wasCold := now < h.coldUntil
 	h.coldUntil = now + cold
 	switch {
-	case cold > 0 && !was:
-		h.ratio, h.learned = max(h.ratio, coldSlowdown), now
-	case cold == 0 && was:
-		h.ratio = 0
+	case cold > 0 && !wasCold:
+		h.runTimeRatio, h.ratioAt = max(h.runTimeRatio, coldSlowdown), now
+	case cold == 0 && wasCold:
+		h.runTimeRatio = 0
 	}
 }
 
@@ -112,14 +114,14 @@
 	stallOverdue = 3.0
 	// stallQuiet is the minimum time without a successful end before a server counts as stalled. A
 	// busy server ends a run every 20 ms.
-	stallQuiet = 150 * time.Millisecond
+	stallWindow = 150 * time.Millisecond
 )
 
 // stallLocked detects a server that answers and lists its runs as active but completes none. Its
 // runs are stopped so that their owners start them elsewhere, and the server is suspended.
 // Otherwise every job with a task there would be lost.
-func (w *Worker) stallLocked(now time.Duration, fx *Effects) {
-	if w.health.suspended || w.failing || now-w.lastDone < stallQuiet {
+func (w *Worker) detectStallLocked(now time.Duration, fx *Effects) {
+	if w.health.suspended || w.unresponsive || now-w.lastDone < stallWindow {
 		return
 	}
 	var overdue float64
@@ -153,11 +155,11 @@
 }
 
 // probing reports whether the server may get only one run, which shows whether it works again.
-func (h *health) probing() bool { return h.row >= failuresInRow }
+func (h *health) probing() bool { return h.consecutiveFailures >= maxConsecutiveFailures }
 
 func (h *health) tick(now time.Duration) {
-	if h.suspended && now >= h.until {
+	if h.suspended && now >= h.suspendedUntil {
 		h.suspended = false
-		h.row = failuresInRow - 1
+		h.consecutiveFailures = maxConsecutiveFailures - 1
 	}
 }
--- a/coordination/worker/load.go
+++ b/coordination/worker/load.go
@@ -8,7 +8,7 @@
 
 // Bands are the upper bounds of slack by which the waiting work is summed up for owners. They
 // double from a little above a round trip to about the longest run time.
-var Bands = [...]time.Duration{
+var SlackBuckets = [...]time.Duration{
 	25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond,
 	200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond,
 }
@@ -19,7 +19,7 @@
 	Free    job.Demand
 	Backlog time.Duration
 	// Ahead is the part of Backlog that has to start within each of the Bands.
-	Ahead [len(Bands)]time.Duration
+	Ahead [len(SlackBuckets)]time.Duration
 	// Slowdown is the ratio of actual to expected run time here; 1 is normal.
 	Slowdown float64
 	// Turnover is the mean time until there is room for one more task. If the active runs occupy
@@ -43,16 +43,16 @@
 func (w *Worker) Load(now time.Duration) Load {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	l := Load{Server: w.server, Unsettled: w.unsettled, Holds: w.holds, Slowdown: w.health.slowdown(now), Accepts: w.seen && w.clock.known && !w.server.Draining && !w.drained && !w.closing && !w.health.suspended && !w.failing && !w.clean}
+	l := Load{Server: w.server, Unsettled: w.unsettled, Holds: w.holds, Slowdown: w.health.slowdown(now), Accepts: w.reported && w.clock.known && !w.server.Draining && !w.drained && !w.agentDraining && !w.health.suspended && !w.unresponsive && !w.leaseExpired}
 	l.Drained = w.drained
 	taken := w.occupancyLocked(now)
-	if taken.known {
+	if taken.demandKnown {
 		l.Free = w.server.Capacity.Minus(taken.used)
 	}
 	if w.reservedLocked(now) {
 		l.Free = job.Demand{}
 	}
-	l.Suspects = w.cautiousLocked()
+	l.Suspects = w.suspectsLocked()
 	var running time.Duration
 	for _, r := range w.runs {
 		switch r.phase {
@@ -83,7 +83,7 @@
 	l.Waiting++
 	l.Backlog += work
 	slack := r.order.latestStart() - now
-	for i, edge := range Bands {
+	for i, edge := range SlackBuckets {
 		if slack <= edge {
 			l.Ahead[i] += work
 		}
@@ -96,7 +96,7 @@
 func (w *Worker) Ready(sinceStart time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.held || sinceStart > time.Duration(float64(w.bounds.Lease)*clockDrift)+lapseMargin
+	return w.listsSeen || sinceStart > time.Duration(float64(w.bounds.Lease)*clockDrift)+leaseExpiryMargin
 }
 
 // Stats returns a copy of the counters.
--- a/coordination/worker/loss.go
+++ b/coordination/worker/loss.go
@@ -6,14 +6,14 @@
 // gets no more starts. Some faults lose three answers in ten: with a limit of two, orders would be
 // returned several times a second, with five once in ten seconds. Holds after the first lost one
 // follow quickly, each after some 40 ms, so a dead server is detected after a quarter of a second.
-const silentHolds = 5
+const maxMissedHolds = 5
 
 // lossMemory is how long after a hold without an answer further losses are expected. It covers a
 // dozen holds, of which one more is lost if one in ten is.
-const lossMemory = time.Second
+const lossyPeriod = time.Second
 
 func (w *Worker) lossyLocked(now time.Duration) bool {
-	return w.misses > 0 || w.missedAt > 0 && now-w.missedAt < lossMemory
+	return w.missedHolds > 0 || w.lastMissedHold > 0 && now-w.lastMissedHold < lossyPeriod
 }
 
 // HoldFailed handles a hold that got no answer from the present instance.
@@ -26,19 +26,19 @@
 	}
 	if why == OtherInstance {
 		w.replacedServerLocked(now, &fx)
-		w.seen = false
+		w.reported = false
 		return fx
 	}
-	if why == NotSent && c.before != 0 {
-		w.grantedEnd = min(w.grantedEnd, c.before)
+	if why == NotSent && c.prevLeaseExpiry != 0 {
+		w.leaseExpiry = min(w.leaseExpiry, c.prevLeaseExpiry)
 	}
-	w.misses++
-	w.missedAt = now
+	w.missedHolds++
+	w.lastMissedHold = now
 	if why == NoAnswer {
-		w.answers.missed()
+		w.responses.timedOut()
 	}
-	if why == NotSent || w.misses >= silentHolds {
-		w.failing = true
+	if why == NotSent || w.missedHolds >= maxMissedHolds {
+		w.unresponsive = true
 		w.returnWaitingLocked(&fx, "server_silent")
 	}
 	w.tickLocked(now, &fx)
--- a/coordination/worker/orders.go
+++ b/coordination/worker/orders.go
@@ -14,12 +14,12 @@
 	defer w.mu.Unlock()
 	var fx Effects
 	s := w.shards[o.Shard]
-	if s == nil || s.epoch != o.Epoch || s.session != o.Session || now-s.heard >= w.bounds.OwnerSilence {
+	if s == nil || s.epoch != o.Epoch || s.session != o.Session || now-s.heard >= w.bounds.OwnerTimeout {
 		return fx
 	}
 	if r := w.runs[o.Run]; r != nil {
 		w.adoptLocked(&fx, r, o)
-		w.pumpLocked(now, &fx)
+		w.startWaitingLocked(now, &fx)
 		return fx
 	}
 	if o.Repeat {
@@ -27,23 +27,23 @@
 		// order would start the task a second time.
 		return fx
 	}
-	r := &run{order: o, known: true}
-	if reason := w.unfitLocked(o); reason != "" {
+	r := &run{order: o, orderKnown: true}
+	if reason := w.refusalReasonLocked(o); reason != "" {
 		w.stats.Refused++
 		if reason == ReasonDomainDrained {
 			w.stats.Drained++
 		}
-		w.overLocked(&fx, r, job.NeverRan, reason)
+		w.reportEndLocked(&fx, r, job.NeverRan, reason)
 		return fx
 	}
-	w.queued++
-	r.queue = w.queued
+	w.lastQueueSeq++
+	r.queueSeq = w.lastQueueSeq
 	w.runs[o.Run] = r
-	w.pumpLocked(now, &fx)
-	if r.phase == waiting && w.betterElsewhereLocked(now, r) {
+	w.startWaitingLocked(now, &fx)
+	if r.phase == waiting && w.shouldReturnLocked(now, r) {
 		w.stats.Returned++
 		delete(w.runs, o.Run)
-		w.overLocked(&fx, r, job.NeverRan, ReasonNoRoom)
+		w.reportEndLocked(&fx, r, job.NeverRan, ReasonNoRoom)
 	}
 	return fx
 }
@@ -61,24 +61,24 @@
 
 // returnShare is the share of an order's slack up to which its expected wait may grow before it is
 // returned. It is below 1 because the expected wait is a rough estimate.
-const returnShare = 0.6
+const maxWaitShare = 0.6
 
 // betterElsewhereLocked reports whether a waiting order should be returned to its owner, because it
 // would start too late here and has time to go elsewhere. Several owners see the same free capacity
 // and send their orders there at once. All but the first would wait until a task ends, some 60 ms
 // on a worker with room for six, while other workers have capacity.
-func (w *Worker) betterElsewhereLocked(now time.Duration, r *run) bool {
+func (w *Worker) shouldReturnLocked(now time.Duration, r *run) bool {
 	slack := r.order.latestStart() - now
-	ahead, overfull := w.aheadLocked(now, r)
+	ahead, overcommitted := w.expectedWaitLocked(now, r)
 	if slack > returnMargin {
-		return ahead > time.Duration(returnShare*float64(slack))
+		return ahead > time.Duration(maxWaitShare*float64(slack))
 	}
-	return overfull && ahead > overfullWait
+	return overcommitted && ahead > overcommittedWait
 }
 
 // aheadLocked returns how long a waiting run is expected to wait for capacity here, and whether the
 // runs here occupy more than the capacity.
-func (w *Worker) aheadLocked(now time.Duration, r *run) (wait time.Duration, overfull bool) {
+func (w *Worker) expectedWaitLocked(now time.Duration, r *run) (wait time.Duration, overcommitted bool) {
 	taken := w.occupancyLocked(now)
 	excess := taken.excess(w.server.Capacity)
 	running, ahead := 0, excess
@@ -99,10 +99,10 @@
 // adoptLocked applies a repeated order to a run of an earlier incarnation of this agent, whose
 // order is not known here.
 func (w *Worker) adoptLocked(fx *Effects, r *run, o Order) {
-	if r.known {
+	if r.orderKnown {
 		return
 	}
-	r.order, r.known = o, true
+	r.order, r.orderKnown = o, true
 	if r.phase == ended {
 		// The end was reported before, but to no owner that knew the job.
 		w.emitLocked(fx, r, r.state())
@@ -110,13 +110,13 @@
 }
 
 // unfitLocked returns the reason for refusing an order, or "" if it can be accepted.
-func (w *Worker) unfitLocked(o Order) string {
+func (w *Worker) refusalReasonLocked(o Order) string {
 	switch {
-	case !w.seen:
+	case !w.reported:
 		return "no_server"
 	case w.server.Draining:
 		return "draining"
-	case w.closing:
+	case w.agentDraining:
 		return "agent_draining"
 	case w.drained:
 		return ReasonDomainDrained
@@ -128,16 +128,16 @@
 		return reasonTooLarge
 	case w.health.suspended:
 		return "unhealthy"
-	case w.failing:
+	case w.unresponsive:
 		return "server_silent"
 	}
-	if o.MaxPerWorker > 0 && w.sameStepLocked(o.Run.Task) >= o.MaxPerWorker {
+	if o.MaxPerWorker > 0 && w.countSameStepLocked(o.Run.Task) >= o.MaxPerWorker {
 		return "max_per_worker"
 	}
 	return ""
 }
 
-func (w *Worker) sameStepLocked(t job.TaskID) int {
+func (w *Worker) countSameStepLocked(t job.TaskID) int {
 	n := 0
 	for id, r := range w.runs {
 		if r.phase != ended && id.Task.Job == t.Job && id.Task.Step == t.Step {
--- a/coordination/worker/patience.go
+++ b/coordination/worker/patience.go
@@ -5,16 +5,16 @@
 const (
 	// leastPatience is the minimum response timeout of a start. It covers the scheduling pauses of
 	// a small host, most of which are below 10 ms.
-	leastPatience = 20 * time.Millisecond
+	minResponseTimeout = 20 * time.Millisecond
 	// mostPatience is the maximum response timeout of a start. An idle backend server on a host
 	// that is several times slower needs as long.
-	mostPatience = 80 * time.Millisecond
+	maxResponseTimeout = 80 * time.Millisecond
 	// patienceDeviations is the number of deviations added to the mean, as for the retransmission
 	// timeout of TCP.
-	patienceDeviations = 4
+	timeoutDeviations = 4
 	// patienceWeight is the weight of one answer in the moving averages. About the last ten answers
 	// count.
-	patienceWeight = 0.1
+	responseTimeWeight = 0.1
 )
 
 // answerTimes derives the response timeout of calls to the backend server from the time that the
@@ -25,31 +25,31 @@
 // for starts and 50 to 90 ms for lists, jobs with a deadline of 150 ms were always late. A start
 // that was merely slow shows up in the next list, so a timeout that is too short costs only one
 // more call and a connection.
-type answerTimes struct {
+type responseTimes struct {
 	mean, deviation time.Duration
 }
 
-func (a *answerTimes) learn(took time.Duration) {
+func (a *responseTimes) observe(took time.Duration) {
 	if a.mean == 0 {
 		a.mean, a.deviation = took, took/2
 		return
 	}
 	off := took - a.mean
-	a.mean += time.Duration(patienceWeight * float64(off))
-	a.deviation += time.Duration(patienceWeight * float64(max(off, -off)-a.deviation))
+	a.mean += time.Duration(responseTimeWeight * float64(off))
+	a.deviation += time.Duration(responseTimeWeight * float64(max(off, -off)-a.deviation))
 }
 
 // missed records that no answer came in time. The timeout has to grow then: the agent learns only
 // from answers, so the answers of a server that has become slow would otherwise always come too
 // late.
-func (a *answerTimes) missed() {
-	a.deviation = max(a.deviation+a.deviation/2, leastPatience/10)
+func (a *responseTimes) timedOut() {
+	a.deviation = max(a.deviation+a.deviation/2, minResponseTimeout/10)
 }
 
 // patience returns the response timeout for the next call.
-func (a *answerTimes) patience() time.Duration {
+func (a *responseTimes) timeout() time.Duration {
 	if a.mean == 0 {
-		return mostPatience
+		return maxResponseTimeout
 	}
-	return min(max(a.mean+patienceDeviations*a.deviation, leastPatience), mostPatience)
+	return min(max(a.mean+timeoutDeviations*a.deviation, minResponseTimeout), maxResponseTimeout)
 }
--- a/coordination/worker/pump.go
+++ b/coordination/worker/pump.go
@@ -12,25 +12,25 @@
 	used job.Demand
 	// known is false while the demand of a run is unknown. Its owner reports it after its claim; if
 	// the owner stays silent, the run is stopped.
-	known bool
+	demandKnown bool
 	// runs counts the runs that may be on the backend server. suspects counts those of tasks under
 	// which servers were lost.
 	runs, suspects int
 	// closed is set while an exclusive run has the server to itself.
-	closed bool
+	exclusive bool
 }
 
 // occupancyLocked sums up what the runs on the backend server occupy. A run counts until its end is
 // listed or its lease has expired for certain: the backend server starts everything it is told to,
 // whether it fits or not.
 func (w *Worker) occupancyLocked(now time.Duration) occupancy {
-	o := occupancy{known: true}
+	o := occupancy{demandKnown: true}
 	for _, r := range w.runs {
 		if !r.occupies() {
 			continue
 		}
-		o.known = o.known && r.known
-		o.closed = o.closed || r.keepsOthersOff(now)
+		o.demandKnown = o.demandKnown && r.orderKnown
+		o.exclusive = o.exclusive || r.runsExclusively(now)
 		o.add(&r.order)
 	}
 	return o
@@ -39,23 +39,23 @@
 func (o *occupancy) add(order *Order) {
 	o.used = o.used.Plus(order.Demand)
 	o.runs++
-	if order.Caution != NoCaution {
+	if order.Isolation != NoIsolation {
 		o.suspects++
 	}
 }
 
 // pumpLocked starts waiting orders while they fit.
-func (w *Worker) pumpLocked(now time.Duration, fx *Effects) {
+func (w *Worker) startWaitingLocked(now time.Duration, fx *Effects) {
 	if !w.mayStartLocked() {
 		return
 	}
 	taken := w.occupancyLocked(now)
-	if !taken.known {
+	if !taken.demandKnown {
 		return
 	}
 	for _, r := range w.waitingLocked() {
 		if !taken.admits(&r.order) {
-			if r.order.Caution == Apart {
+			if r.order.Isolation == ApartFromSuspects {
 				continue // the suspect before it ends soon, so the orders behind it need not wait
 			}
 			return
@@ -65,7 +65,7 @@
 			return
 		}
 		taken.add(&r.order)
-		taken.closed = r.order.Caution == Alone
+		taken.exclusive = r.order.Isolation == Exclusive
 		w.startLocked(now, fx, r)
 		if w.health.probing() {
 			return
@@ -74,7 +74,7 @@
 }
 
 func (w *Worker) mayStartLocked() bool {
-	return w.seen && w.clock.known && !w.server.Draining && !w.drained && !w.lapsing && !w.failing && !w.health.suspended
+	return w.reported && w.clock.known && !w.server.Draining && !w.drained && !w.awaitLeaseExpiry && !w.unresponsive && !w.health.suspended
 }
 
 // waitingLocked returns the waiting orders, most urgent first: by their latest start, which is when
@@ -93,7 +93,7 @@
 		if x, y := a.order.latestStart(), b.order.latestStart(); x != y {
 			return int(x - y)
 		}
-		return int(a.queue - b.queue)
+		return int(a.queueSeq - b.queueSeq)
 	})
 	return out
 }
@@ -102,16 +102,16 @@
 
 func (w *Worker) startLocked(now time.Duration, fx *Effects, r *run) {
 	r.phase = starting
-	r.deadline = w.grantLocked(now)
+	r.deadline = w.extendLeaseLocked(now)
 	r.startedAt = now
 	w.stats.Started++
 	fx.Starts = append(fx.Starts, StartCall{
-		Instance:   w.server.Instance,
-		Run:        r.order.Run,
-		Payload:    r.order.Payload,
-		Checkpoint: r.order.Checkpoint,
-		Deadline:   r.deadline,
-		Patience:   w.startPatience(r),
+		Instance:        w.server.Instance,
+		Run:             r.order.Run,
+		Payload:         r.order.Payload,
+		Checkpoint:      r.order.Checkpoint,
+		Deadline:        r.deadline,
+		ResponseTimeout: w.startTimeout(r),
 	})
 }
 
@@ -119,19 +119,19 @@
 // after the list that lacks it and before the stop that bars it; it is then stopped. A task that
 // must not be repeated would be lost that way, and its job with it, so such tasks get the maximum
 // timeout.
-func (w *Worker) startPatience(r *run) time.Duration {
+func (w *Worker) startTimeout(r *run) time.Duration {
 	if r.order.Once {
-		return mostPatience
+		return maxResponseTimeout
 	}
-	return w.answers.patience()
+	return w.responses.timeout()
 }
 
 // grantLocked extends the lease from now and returns its end on the backend server's clock, in
 // milliseconds.
-func (w *Worker) grantLocked(now time.Duration) int64 {
-	w.granted = max(w.granted, w.clock.at(now+w.bounds.Lease))
-	w.grantedEnd = now + time.Duration(float64(w.bounds.Lease)*clockDrift) + lapseMargin
-	return w.granted
+func (w *Worker) extendLeaseLocked(now time.Duration) int64 {
+	w.leaseDeadline = max(w.leaseDeadline, w.clock.at(now+w.bounds.Lease))
+	w.leaseExpiry = now + time.Duration(float64(w.bounds.Lease)*clockDrift) + leaseExpiryMargin
+	return w.leaseDeadline
 }
 
 // StartOutcome is the outcome of a StartCall.
@@ -159,7 +159,7 @@
 	}
 	switch outcome {
 	case StartOK:
-		w.answers.learn(now - r.startedAt)
+		w.responses.observe(now - r.startedAt)
 		w.confirmLocked(&fx, r)
 		r.startedAt = now
 	case StartRefused, StartUnhealthy:
@@ -167,18 +167,18 @@
 		if outcome == StartUnhealthy {
 			w.health.failed(now)
 		}
-		w.overLocked(&fx, r, job.NeverRan, reason)
+		w.reportEndLocked(&fx, r, job.NeverRan, reason)
 		delete(w.runs, id)
 	case StartUnknown:
 		// Either the answer was lost and the run is active, which the next list shows, or the start
 		// may still be carried out seconds later. The run occupies its capacity until one of the
 		// two is certain.
-		w.stats.Doubtful++
-		w.answers.missed()
-		r.phase = doubtful
-		r.confirmedBy = w.holds
+		w.stats.Unconfirmed++
+		w.responses.timedOut()
+		r.phase = unconfirmed
+		r.confirmedAtHold = w.holds
 	}
-	w.pumpLocked(now, &fx)
+	w.startWaitingLocked(now, &fx)
 	return fx
 }
 
@@ -188,5 +188,5 @@
 		w.emitLocked(fx, r, RunState{Run: r.order.Run, Status: Running})
 	}
 	r.phase = running
-	r.confirmedBy = w.holds
+	r.confirmedAtHold = w.holds
 }
--- a/coordination/worker/run.go
+++ b/coordination/worker/run.go
@@ -15,7 +15,7 @@
 	// starting means that the start was sent and has not been answered.
 	starting
 	// doubtful means that the start got no answer and may still be carried out.
-	doubtful
+	unconfirmed
 	// running means that the start was confirmed or the run was listed.
 	running
 	// ended means that the end is listed or kept for its owner, and is not yet both settled and
@@ -29,21 +29,21 @@
 	phase phase
 	// known is false for a run that an earlier incarnation of this agent started. Its demand is
 	// unknown until its owner repeats the order.
-	known bool
+	orderKnown bool
 	// deadline is the time on the backend server's clock, in milliseconds, after which it refuses
 	// the start.
 	deadline int64
 	// confirmedBy is the number of holds sent when the start was confirmed or the stop was
 	// answered. Only a later hold can show that the run is missing.
-	confirmedBy int64
+	confirmedAtHold int64
 	// stopWanted is set if the run is to be stopped. The stop is repeated until one is answered.
 	stopWanted   bool
-	stopping     bool
+	stopInFlight bool
 	stopAnswered bool
 	nextStop     time.Duration
 	startedAt    time.Duration
 	end          endState
-	queue        int64
+	queueSeq     int64
 	// loss and suspects are reported to the owner of a run that was lost with its server.
 	loss     Loss
 	suspects int
@@ -69,7 +69,7 @@
 
 // read applies a clock reading, in milliseconds, that arrived at now. The estimate is never ahead
 // of the backend server's clock, because the reading was taken before it arrived.
-func (c *clock) read(now time.Duration, ms int64) {
+func (c *clock) update(now time.Duration, ms int64) {
 	c.known = true
 	c.offset = time.Duration(ms)*time.Millisecond - now
 }
@@ -78,23 +78,23 @@
 
 // replacedServerLocked ends all runs of an instance that another one has replaced.
 func (w *Worker) replacedServerLocked(now time.Duration, fx *Effects) {
-	what := LossConfirmed
-	if w.blameless() {
-		what = LossCleared
+	loss := LossConfirmed
+	if w.plannedShutdown() {
+		loss = LossCleared
 	}
-	w.explainLocked(fx, what)
-	if what == LossCleared {
-		what = NotLost
+	w.resolveLossLocked(fx, loss)
+	if loss == LossCleared {
+		loss = NotLost
 	}
-	w.resetLocked(now, fx, what)
+	w.resetLocked(now, fx, loss)
 }
 
 // resetLocked ends all runs of an instance that is gone and reports them with the given loss.
-func (w *Worker) resetLocked(now time.Duration, fx *Effects, what Loss) {
+func (w *Worker) resetLocked(now time.Duration, fx *Effects, loss Loss) {
 	suspects := w.occupancyLocked(now).runs
 	for id, r := range w.runs {
 		if r.phase != ended {
-			w.loseLocked(now, fx, id, r, what, suspects, "instance_gone")
+			w.endLostLocked(now, fx, id, r, loss, suspects, "instance_gone")
 			continue
 		}
 		if r.order.Once && !r.end.settled {
@@ -104,15 +104,15 @@
 		}
 		delete(w.runs, id)
 	}
-	w.ends = make(map[int64]*run)
+	w.unackedEnds = make(map[int64]*run)
 	w.clock = clock{}
-	w.granted, w.grantedEnd = 0, 0
-	w.lapsing, w.clean = false, false
+	w.leaseDeadline, w.leaseExpiry = 0, 0
+	w.awaitLeaseExpiry, w.leaseExpired = false, false
 }
 
 // overLocked reports the end of a run that the backend server doesn't list, unless the end is known
 // already.
-func (w *Worker) overLocked(fx *Effects, r *run, kind job.EndKind, reason string) {
+func (w *Worker) reportEndLocked(fx *Effects, r *run, kind job.EndKind, reason string) {
 	if r.phase == ended {
 		return
 	}
@@ -130,7 +130,7 @@
 // The loss of a run that must not be repeated is kept until its owner has settled it. Otherwise an
 // owner that takes over before would find nothing and start the task again.
 func (w *Worker) dropLocked(fx *Effects, id job.RunID, r *run, kind job.EndKind, reason string) {
-	w.overLocked(fx, r, kind, reason)
+	w.reportEndLocked(fx, r, kind, reason)
 	delete(w.runs, id)
 	if r.order.Once && kind == job.Lapsed && r.phase != waiting {
 		r.phase, r.end = ended, endState{kind: kind}
--- a/coordination/worker/settle.go
+++ b/coordination/worker/settle.go
@@ -16,10 +16,10 @@
 	}
 	if void && !r.end.void {
 		r.end.void = true
-		w.lapsing = true
+		w.awaitLeaseExpiry = true
 		w.stats.Voided++
 	}
-	w.trimLocked()
+	w.acknowledgeLocked()
 }
 
 // settleLocked notes that no owner needs an end any more. An end that the backend server never
@@ -39,14 +39,14 @@
 // after a loss, and nothing of them is recorded. They are kept here until their owner has settled
 // them, but not on the backend server's list. A hold returns at once while the list has an end, so
 // the agent would send one hold after another.
-func (w *Worker) trimLocked() {
+func (w *Worker) acknowledgeLocked() {
 	for {
-		r := w.ends[w.acked+1]
-		if r == nil || r.end.void || !r.end.settled && !w.effortLocked(r) {
+		r := w.unackedEnds[w.acked+1]
+		if r == nil || r.end.void || !r.end.settled && !w.bestEffortLocked(r) {
 			return
 		}
 		w.acked++
-		delete(w.ends, w.acked)
+		delete(w.unackedEnds, w.acked)
 		if r.end.settled {
 			delete(w.runs, r.order.Run)
 			continue
@@ -56,9 +56,9 @@
 }
 
 // effortLocked reports whether a run is known to belong to a best-effort job.
-func (w *Worker) effortLocked(r *run) bool {
-	if !r.known {
-		return w.formerEffort
+func (w *Worker) bestEffortLocked(r *run) bool {
+	if !r.orderKnown {
+		return w.formerBestEffort
 	}
 	return r.order.Shard >= w.bounds.Shards
 }
--- a/coordination/worker/silence.go
+++ b/coordination/worker/silence.go
@@ -17,29 +17,29 @@
 
 func (w *Worker) tickLocked(now time.Duration, fx *Effects) {
 	w.health.tick(now)
-	w.stallLocked(now, fx)
-	w.expireLocked(now, fx)
+	w.detectStallLocked(now, fx)
+	w.expireLeaseLocked(now, fx)
 	w.forgetLostLocked(now)
-	w.silenceLocked(now, fx)
-	w.trimLocked()
+	w.enforceOwnerTimeoutLocked(now, fx)
+	w.acknowledgeLocked()
 	for _, r := range w.runs {
-		if r.stopWanted && r.phase != ended && !w.failing {
-			w.callStopLocked(now, fx, r)
+		if r.stopWanted && r.phase != ended && !w.unresponsive {
+			w.sendStopLocked(now, fx, r)
 		}
 	}
-	w.pumpLocked(now, fx)
+	w.startWaitingLocked(now, fx)
 }
 
 // expireLocked drops all runs once the lease has expired for certain, because the backend server
 // could not be reached for longer than the lease.
-func (w *Worker) expireLocked(now time.Duration, fx *Effects) {
-	if w.grantedEnd == 0 || now < w.grantedEnd || w.clean || w.lapsing {
+func (w *Worker) expireLeaseLocked(now time.Duration, fx *Effects) {
+	if w.leaseExpiry == 0 || now < w.leaseExpiry || w.leaseExpired || w.awaitLeaseExpiry {
 		return
 	}
-	w.clean = true
-	what := LossSuspected
-	if w.blameless() {
-		what = NotLost
+	w.leaseExpired = true
+	loss := LossSuspected
+	if w.plannedShutdown() {
+		loss = NotLost
 	}
 	suspects := w.occupancyLocked(now).runs
 	for id, r := range w.runs {
@@ -52,22 +52,22 @@
 			continue
 		}
 		w.stats.Lapsed++
-		w.loseLocked(now, fx, id, r, what, suspects, "lease_expired")
+		w.endLostLocked(now, fx, id, r, loss, suspects, "lease_expired")
 	}
 }
 
 // silenceLocked stops the runs of owners that have been silent for longer than their timeout. A new
 // owner that can't reach this agent relies on that before it starts the tasks elsewhere.
-func (w *Worker) silenceLocked(now time.Duration, fx *Effects) {
+func (w *Worker) enforceOwnerTimeoutLocked(now time.Duration, fx *Effects) {
 	for id, r := range w.runs {
-		if now-w.heardLocked(r) < w.patience(r) || r.stopWanted && r.phase != ended {
+		if now-w.lastHeardLocked(r) < w.ownerTimeout(r) || r.stopWanted && r.phase != ended {
 			continue
 		}
 		if r.phase == ended {
 			w.settleOrphanLocked(id, r)
 			continue
 		}
-		w.stats.Silenced++
+		w.stats.OwnerTimedOut++
 		if r.phase == waiting {
 			delete(w.runs, id)
 			continue
@@ -80,24 +80,24 @@
 // recorded, so no other owner would settle the end, and the backend server's list would fill up
 // with ends that can't be acknowledged behind it.
 func (w *Worker) settleOrphanLocked(id job.RunID, r *run) {
-	if w.effortLocked(r) {
+	if w.bestEffortLocked(r) {
 		w.settleLocked(id, r)
 	}
 }
 
 // patience returns how long the owner of a run may be silent.
-func (w *Worker) patience(r *run) time.Duration {
-	if !r.known {
-		return w.bounds.Adoption
+func (w *Worker) ownerTimeout(r *run) time.Duration {
+	if !r.orderKnown {
+		return w.bounds.AdoptionTimeout
 	}
-	return w.bounds.OwnerSilence
+	return w.bounds.OwnerTimeout
 }
 
 // heardLocked returns when the owner of a run was last heard. A run of an earlier incarnation of
 // this agent counts from when it was found until an owner repeats its order.
-func (w *Worker) heardLocked(r *run) time.Duration {
+func (w *Worker) lastHeardLocked(r *run) time.Duration {
 	s := w.shards[r.order.Shard]
-	if !r.known || s == nil {
+	if !r.orderKnown || s == nil {
 		return r.startedAt
 	}
 	return s.heard
@@ -109,7 +109,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var fx Effects
-	w.closing = true
+	w.agentDraining = true
 	w.returnWaitingLocked(&fx, "agent_draining")
 	for _, r := range w.runs {
 		if r.phase != ended || !r.end.settled {
--- a/coordination/worker/stops.go
+++ b/coordination/worker/stops.go
@@ -18,7 +18,7 @@
 	if r := w.runs[id]; r != nil {
 		w.stopLocked(now, &fx, r, "stopped")
 	}
-	w.pumpLocked(now, &fx)
+	w.startWaitingLocked(now, &fx)
 	return fx
 }
 
@@ -30,7 +30,7 @@
 	case ended:
 	default:
 		r.stopWanted = true
-		w.callStopLocked(now, fx, r)
+		w.sendStopLocked(now, fx, r)
 	}
 }
 
@@ -38,11 +38,11 @@
 // the same host, and short compared with the 3 s within which a cancellation has to take effect.
 const stopRetry = 100 * time.Millisecond
 
-func (w *Worker) callStopLocked(now time.Duration, fx *Effects, r *run) {
-	if r.stopping || r.stopAnswered || now < r.nextStop {
+func (w *Worker) sendStopLocked(now time.Duration, fx *Effects, r *run) {
+	if r.stopInFlight || r.stopAnswered || now < r.nextStop {
 		return
 	}
-	r.stopping = true
+	r.stopInFlight = true
 	r.nextStop = now + stopRetry
 	fx.Stops = append(fx.Stops, StopCall{Instance: w.server.Instance, Run: r.order.Run})
 }
@@ -56,10 +56,10 @@
 	if r == nil || instance != w.server.Instance {
 		return fx
 	}
-	r.stopping = false
+	r.stopInFlight = false
 	if answered {
 		r.stopAnswered = true
-		r.confirmedBy = w.holds
+		r.confirmedAtHold = w.holds
 	}
 	return fx
 }
--- a/coordination/worker/worker.go
+++ b/coordination/worker/worker.go
@@ -19,14 +19,14 @@
 	// Lease is the longest lease that the backend server grants.
 	Lease time.Duration
 	// OwnerSilence is how long an owner may be silent before its runs here are stopped.
-	OwnerSilence time.Duration
+	OwnerTimeout time.Duration
 	// Relink is how long an owner whose link has ended may take to connect again before its runs
 	// are stopped.
-	Relink time.Duration
+	ReconnectTimeout time.Duration
 	// Adoption is how long a run of an earlier incarnation of the agent may wait for its owner to
 	// repeat the order. The owner may be that incarnation itself: clients resubmit its best-effort
 	// jobs, and the first runs of these must have ended by then.
-	Adoption time.Duration
+	AdoptionTimeout time.Duration
 	// Shards is the number of shards that job IDs are mapped to. Higher shard numbers are private
 	// shards of best-effort jobs.
 	Shards int
@@ -38,7 +38,7 @@
 	clockDrift = 1.03
 	// lapseMargin is added before a lease counts as expired for certain: the backend server's
 	// timers fire a few milliseconds late, and its clock is read in whole milliseconds.
-	lapseMargin = 60 * time.Millisecond
+	leaseExpiryMargin = 60 * time.Millisecond
 )
 
 // Server is the last report of a backend server.
@@ -49,7 +49,7 @@
 	Capacity job.Demand
 	Draining bool
 	// Cold is how much longer, from the report on, runs take longer than usual there.
-	Cold time.Duration
+	ColdRemaining time.Duration
 	// Seq increases with each report of one instance.
 	Seq int64
 }
@@ -77,7 +77,7 @@
 	// the owner has settled it.
 	Once bool
 	// Caution is set if backend servers were lost under earlier runs of the task.
-	Caution Caution
+	Isolation Isolation
 }
 
 // RunState is the state of a run as reported to its owner.
@@ -110,7 +110,7 @@
 	Ended
 	// LossNews reports whether the loss of the backend server with which a run was lost is
 	// confirmed or cleared. The end of the run was reported before.
-	LossNews
+	LossUpdate
 )
 
 // Event reports the state of a run to the owner of its shard.
@@ -129,7 +129,7 @@
 	// Deadline is the end of the lease on the backend server's clock, in milliseconds.
 	Deadline int64
 	// Patience is how long to wait for the answer.
-	Patience time.Duration
+	ResponseTimeout time.Duration
 }
 
 // StopCall asks the driver to stop a run. The driver passes the outcome to StopAnswered.
@@ -154,60 +154,60 @@
 
 	server Server
 	// seen is set once the backend server has reported.
-	seen bool
+	reported bool
 	// held is set once the backend server's lists were seen.
-	held   bool
-	runs   map[job.RunID]*run
-	shards map[int]*shardState
+	listsSeen bool
+	runs      map[job.RunID]*run
+	shards    map[int]*shardState
 	// former holds, by node, the owners that the runs of an earlier incarnation of this agent may
 	// belong to. An owner is removed when a later incarnation of its node has claimed.
-	former map[string]string
+	formerOwners map[string]string
 	// formerEffort is set if all runs of the earlier incarnation are of best-effort jobs.
-	formerEffort bool
-	queued       int64
+	formerBestEffort bool
+	lastQueueSeq     int64
 
 	clock clock
 	// granted is the latest lease deadline given out, in milliseconds on the backend server's
 	// clock. grantedEnd is the local time by which that lease has expired for certain.
-	granted    int64
-	grantedEnd time.Duration
-	holds      int64
-	acked      int64
+	leaseDeadline int64
+	leaseExpiry   time.Duration
+	holds         int64
+	acked         int64
 	// ends holds the listed ends that are not acknowledged, by their sequence number.
-	ends map[int64]*run
+	unackedEnds map[int64]*run
 	// lapsing is set while the lease must expire before any end can be acknowledged, because an end
 	// that was voided must never count.
-	lapsing bool
+	awaitLeaseExpiry bool
 	// clean is set when the lease has expired while the backend server could not be reached. The
 	// runs whose ends are listed next were reported as lapsed already.
-	clean bool
+	leaseExpired bool
 
 	// answered is when the backend server last answered a hold.
-	answered time.Duration
+	lastHoldAnswer time.Duration
 	// drained is set while the failure domain is drained, so nothing is started.
 	drained bool
 	// closing is set once a planned stop of the agent has begun.
-	closing bool
+	agentDraining bool
 	// misses counts the consecutive holds without an answer.
-	misses int
+	missedHolds int
 	// missedAt is when a hold last went without an answer; zero if none did.
-	missedAt time.Duration
+	lastMissedHold time.Duration
 	// failing is set while the backend server doesn't answer holds. Nothing is started then.
-	failing bool
+	unresponsive bool
 	// gap is set while the lists that follow a hold without an answer are applied.
-	gap bool
+	afterMissedHold bool
 	// unsettled is the number of ends in the last list.
 	unsettled int
 
 	// saidAt is when the server last reported its capacity, in milliseconds on its clock. varies is
 	// set once the present instance has changed its capacity.
-	saidAt int64
-	varies bool
+	capacityAtMS    int64
+	capacityChanged bool
 	// lost holds the instances that were recently lost, oldest first.
-	lost []*lostServer
+	lostServers []*lostServer
 
-	health  health
-	answers answerTimes
+	health    health
+	responses responseTimes
 	// lastDone is when a run last completed successfully.
 	lastDone time.Duration
 	stats    Stats
@@ -223,7 +223,7 @@
 
 // Stats are counters of a Worker.
 type Stats struct {
-	Started, Refused, Lapsed, Doubtful, Voided, Silenced, Stalled int64
+	Started, Refused, Lapsed, Unconfirmed, Voided, OwnerTimedOut, Stalled int64
 	// Returned counts the orders that were returned because they would have started too late.
 	Returned int64
 	// Resized counts the changes of the backend server's capacity.
@@ -236,10 +236,10 @@
 // New returns a Worker that has no report of its backend server yet.
 func New(b Bounds) *Worker {
 	return &Worker{
-		bounds: b,
-		runs:   make(map[job.RunID]*run),
-		shards: make(map[int]*shardState),
-		ends:   make(map[int64]*run),
+		bounds:      b,
+		runs:        make(map[job.RunID]*run),
+		shards:      make(map[int]*shardState),
+		unackedEnds: make(map[int64]*run),
 	}
 }
 
@@ -249,42 +249,42 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var fx Effects
-	if w.seen && s.Instance == w.server.Instance && s.Seq <= w.server.Seq {
+	if w.reported && s.Instance == w.server.Instance && s.Seq <= w.server.Seq {
 		// A report that arrives late would revert a drain, and one that repeats a sequence number
 		// is a duplicate.
 		return fx
 	}
-	if w.seen && s.Instance != w.server.Instance {
+	if w.reported && s.Instance != w.server.Instance {
 		w.replacedServerLocked(now, &fx)
 	}
-	if !w.seen || s.Instance != w.server.Instance {
+	if !w.reported || s.Instance != w.server.Instance {
 		w.acked = 0
 		w.health = health{}
-		w.saidAt, w.varies = 0, false
+		w.capacityAtMS, w.capacityChanged = 0, false
 		w.server.Capacity = s.Capacity
-		w.answered, w.failing, w.misses, w.missedAt = now, false, 0, 0
+		w.lastHoldAnswer, w.unresponsive, w.missedHolds, w.lastMissedHold = now, false, 0, 0
 	}
-	w.seen = true
+	w.reported = true
 	draining := s.Draining && !w.server.Draining
-	resized := w.sayLocked(s.Capacity, clockMS)
+	resized := w.updateCapacityLocked(s.Capacity, clockMS)
 	s.Capacity = w.server.Capacity
 	w.server = s
-	w.clock.read(now, clockMS)
-	w.health.expectCold(now, s.Cold)
+	w.clock.update(now, clockMS)
+	w.health.setCold(now, s.ColdRemaining)
 	if draining {
 		w.returnWaitingLocked(&fx, "draining")
 	}
 	if resized {
 		w.returnUnfitLocked(now, &fx)
 	}
-	w.pumpLocked(now, &fx)
+	w.startWaitingLocked(now, &fx)
 	return fx
 }
 
 // Resume applies what an earlier incarnation of the agent has stored about the backend server. It
 // does nothing once the server has reported, and any later report takes precedence.
 func (w *Worker) Resume(now time.Duration, s Server, clockMS int64) Effects {
-	if w.known() {
+	if w.hasServer() {
 		return Effects{}
 	}
 	s.Seq = beforeAnyReport
@@ -294,35 +294,35 @@
 // beforeAnyReport is a sequence number below those of all reports.
 const beforeAnyReport = -1
 
-func (w *Worker) known() bool {
+func (w *Worker) hasServer() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.seen
+	return w.reported
 }
 
 // Changes reports whether s differs from the last report in instance, draining state or capacity.
 func (w *Worker) Changes(s Server) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.seen || w.server.Instance != s.Instance || w.server.Draining != s.Draining || w.server.Capacity != s.Capacity
+	return !w.reported || w.server.Instance != s.Instance || w.server.Draining != s.Draining || w.server.Capacity != s.Capacity
 }
 
 // Server returns the last report, or false if there is none.
 func (w *Worker) Server() (Server, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.server, w.seen
+	return w.server, w.reported
 }
 
 // Left notes that an instance of the backend server has deregistered.
-func (w *Worker) Left(instance string) Effects {
+func (w *Worker) Deregistered(instance string) Effects {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var fx Effects
-	if w.seen && w.server.Instance == instance {
-		w.explainLocked(&fx, LossCleared)
+	if w.reported && w.server.Instance == instance {
+		w.resolveLossLocked(&fx, LossCleared)
 		w.resetLocked(0, &fx, NotLost)
-		w.seen = false
+		w.reported = false
 	}
 	return fx
 }
--- a/coordination/worker/worker_test.go
+++ b/coordination/worker/worker_test.go
@@ -16,7 +16,7 @@
 	bestEffortShard = testShards + 7
 )
 
-var testBounds = Bounds{Lease: time.Second, OwnerSilence: 1300 * time.Millisecond, Relink: 600 * time.Millisecond, Adoption: 300 * time.Millisecond, Shards: testShards}
+var testBounds = Bounds{Lease: time.Second, OwnerTimeout: 1300 * time.Millisecond, ReconnectTimeout: 600 * time.Millisecond, AdoptionTimeout: 300 * time.Millisecond, Shards: testShards}
 
 // recordedShard is the number of a shard whose jobs are recorded.
 const recordedShard = 0
@@ -90,16 +90,16 @@
 func (f *fixture) hold() HoldCall {
 	c, ok := f.Hold(f.now)
 	f.is.True(ok)
-	h := Holding{ClockMS: f.clock}
+	h := HoldResult{ClockMS: f.clock}
 	for run := range f.active {
-		h.Active = append(h.Active, Listed{Run: run})
+		h.Active = append(h.Active, ListedRun{Run: run})
 	}
 	for _, e := range f.ends {
 		if e.Seq > c.Acked {
 			h.Ends = append(h.Ends, e)
 		}
 	}
-	f.confirmStarts(f.collect(f.Held(f.now, c, h)))
+	f.confirmStarts(f.collect(f.HoldAnswered(f.now, c, h)))
 	return c
 }
 
@@ -132,7 +132,7 @@
 	f.endRun(f.order(0).Run, job.Done)
 	f.is.Equal(f.Load(f.now).Free.CPUMillis, int64(0)) // capacity is free only once the end is listed
 	c, _ := f.Hold(f.now)
-	fx := f.Held(f.now, c, Holding{ClockMS: f.clock, Active: []Listed{{Run: f.order(1).Run}}, Ends: f.ends})
+	fx := f.HoldAnswered(f.now, c, HoldResult{ClockMS: f.clock, Active: []ListedRun{{Run: f.order(1).Run}}, Ends: f.ends})
 	f.is.Equal(len(fx.Starts), 1)
 }
 
@@ -154,7 +154,7 @@
 	}
 	f.endRun(f.order(0).Run, job.Done)
 	c, _ := f.Hold(f.now)
-	fx := f.collect(f.Held(f.now, c, Holding{ClockMS: f.clock, Active: []Listed{{Run: f.order(1).Run}}, Ends: f.ends}))
+	fx := f.collect(f.HoldAnswered(f.now, c, HoldResult{ClockMS: f.clock, Active: []ListedRun{{Run: f.order(1).Run}}, Ends: f.ends}))
 	f.is.Equal(len(fx.Starts), 1)
 	f.is.Equal(fx.Starts[0].Run, late.Run)
 }
@@ -249,7 +249,7 @@
 	f.is.Equal(len(f.ended()), 0)
 	f.is.True(f.Load(f.now).Accepts)
 	f.is.True(f.hold().Lossy)
-	f.advance(lossMemory)
+	f.advance(lossyPeriod)
 	f.is.True(!f.hold().Lossy)
 }
 
@@ -260,7 +260,7 @@
 	for i := range 3 {
 		f.send(f.order(i))
 	}
-	for range silentHolds {
+	for range maxMissedHolds {
 		f.is.Equal(len(f.ended()), 0) // fewer lost answers have no effect
 		c, _ := f.Hold(f.now)
 		f.collect(f.HoldFailed(f.now, c, NoAnswer))
@@ -303,7 +303,7 @@
 		f.Settled(f.order(i).Run, false)
 	}
 	f.is.True(f.Load(f.now).Slowdown > 1.5)
-	f.advance(3 * slowMemory)
+	f.advance(3 * slowdownDecay)
 	f.is.Equal(f.Load(f.now).Slowdown, 1.0)
 }
 
@@ -342,7 +342,7 @@
 	f := newFixture(t)
 	c, _ := f.Hold(f.now)
 	f.send(f.order(0))
-	f.collect(f.Held(f.now, c, Holding{ClockMS: f.clock}))
+	f.collect(f.HoldAnswered(f.now, c, HoldResult{ClockMS: f.clock}))
 	f.is.Equal(len(f.ended()), 0)
 	f.is.Equal(f.Load(f.now).Running, 1)
 }
@@ -377,13 +377,13 @@
 	f := newFixture(t)
 	f.send(f.order(0))
 	c, _ := f.Hold(f.now)
-	h := Holding{ClockMS: f.clock}
-	for i := range fullList {
+	h := HoldResult{ClockMS: f.clock}
+	for i := range maxListedEnds {
 		run := job.RunID{Task: job.TaskID{Job: "00000000000000bb", Index: i}, Number: 1}
 		h.Ends = append(h.Ends, ListedEnd{Seq: int64(i + 1), Run: run, Kind: job.Done})
 	}
 	f.events = nil
-	f.collect(f.Held(f.now, c, h))
+	f.collect(f.HoldAnswered(f.now, c, h))
 	for _, e := range f.ended() {
 		f.is.True(e.Run != f.order(0).Run)
 	}
@@ -407,7 +407,7 @@
 // and has started the task elsewhere.
 func TestOrderAfterASuspensionIsDropped(t *testing.T) {
 	f := newFixture(t)
-	f.advance(testBounds.OwnerSilence)
+	f.advance(testBounds.OwnerTimeout)
 	fx := f.collect(f.Order(f.now, f.order(0)))
 	f.is.Equal(len(fx.Starts), 0)
 	f.is.True(!f.Heard(f.now, "owner-"+strconv.Itoa(bestEffortShard))) // the owner has to claim again
@@ -422,7 +422,7 @@
 		f.advance(100 * time.Millisecond)
 		f.hold()
 	}
-	f.advance(testBounds.OwnerSilence - 1200*time.Millisecond - time.Millisecond)
+	f.advance(testBounds.OwnerTimeout - 1200*time.Millisecond - time.Millisecond)
 	f.is.Equal(len(f.Tick(f.now).Stops), 0)
 	f.advance(time.Millisecond)
 	f.is.Equal(len(f.Tick(f.now).Stops), 1)
@@ -540,7 +540,7 @@
 	f.is.Equal(len(f.ended()), 1)
 	c := f.hold()
 	f.is.Equal(c.Acked, int64(1))
-	f.is.True(!c.Known)
+	f.is.True(!c.UnackedEnds)
 	runs := f.claim(bestEffortShard, 1, 2).Runs
 	f.is.Equal(len(runs), 1) // its owner may not know of it
 	f.is.Equal(runs[0].End, job.Done)
@@ -554,7 +554,7 @@
 	f.send(f.order(0))
 	f.endRun(f.order(0).Run, job.Done)
 	f.hold()
-	f.advance(testBounds.OwnerSilence)
+	f.advance(testBounds.OwnerTimeout)
 	f.hold()
 	f.is.Equal(len(f.claim(bestEffortShard, 1, 2).Runs), 0)
 }
@@ -571,11 +571,11 @@
 	f.hold()
 	c := f.hold()
 	f.is.Equal(c.Acked, int64(0))
-	f.is.True(c.Known)
+	f.is.True(c.UnackedEnds)
 	f.Settled(o.Run, false)
 	c = f.hold()
 	f.is.Equal(c.Acked, int64(1))
-	f.is.True(!c.Known)
+	f.is.True(!c.UnackedEnds)
 }
 
 // The backend server is unreachable. Its capacity is free, and its runs are lost, only when the
@@ -686,13 +686,13 @@
 // attempt of one job after another.
 func TestServerThatFailsEverythingIsSuspended(t *testing.T) {
 	f := newFixture(t)
-	for i := range failuresInRow {
+	for i := range maxConsecutiveFailures {
 		f.send(f.order(i))
 		f.endRun(f.order(i).Run, job.FailedRun)
 		f.hold()
 	}
 	f.is.True(!f.Load(f.now).Accepts)
-	f.advance(suspension)
+	f.advance(minSuspension)
 	f.Heard(f.now, "owner-"+strconv.Itoa(bestEffortShard))
 	f.collect(f.Tick(f.now))
 	f.is.True(f.Load(f.now).Accepts) // the server is tried again
@@ -788,7 +788,7 @@
 	}
 	f.Claim(f.now, own(1, 1))
 	f.Claim(f.now, own(2, 1))
-	f.advance(2 * testBounds.OwnerSilence)
+	f.advance(2 * testBounds.OwnerTimeout)
 	f.is.True(!f.Heard(f.now, "owner")) // a late frame after the link recovered must not revive the claims
 
 	f.Claim(f.now, own(1, 2)) // shard 2 was given up
--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -34,14 +34,14 @@
 type BackendClient interface {
 	Start(ctx context.Context, c worker.StartCall) (worker.StartOutcome, string)
 	Stop(ctx context.Context, c worker.StopCall) bool
-	Hold(ctx context.Context, c worker.HoldCall, wait time.Duration) (worker.Holding, error)
+	Hold(ctx context.Context, c worker.HoldCall, wait time.Duration) (worker.HoldResult, error)
 }
 
 // Agent is the process beside one backend server. Its zero value is not usable; see New.
 type Agent struct {
 	settings *settings.Settings
 	store    store.Store
-	metrics  *core.CoreMetrics
+	metrics  *core.Metrics
 	// newBackendClient returns a client for this incarnation of the agent.
 	newBackendClient func(fence int64) BackendClient
 	// member is the name of this incarnation in the owners' group and on links.
@@ -112,9 +112,9 @@
 // New returns an agent that is not running; see Run.
 func New(s *settings.Settings, st store.Store, drains core.DrainSource, newBackendClient func(fence int64) BackendClient) *Agent {
 	a := &Agent{
-		settings: s, store: st, newBackendClient: newBackendClient, metrics: core.NewCoreMetrics(),
+		settings: s, store: st, newBackendClient: newBackendClient, metrics: core.NewMetrics(),
 		member: core.MemberName(s.Name, xid.New().String()), started: bootclock.Now(),
-		worker:        worker.New(worker.Bounds{Lease: s.Bounds.Lease, OwnerSilence: core.OwnerSilence, Relink: core.Relink, Adoption: core.Adoption, Shards: s.Shards()}),
+		worker:        worker.New(worker.Bounds{Lease: s.Bounds.Lease, OwnerTimeout: core.OwnerSilenceTimeout, ReconnectTimeout: core.RelinkTimeout, AdoptionTimeout: core.AdoptionTimeout, Shards: s.Shards()}),
 		recentPlacers: newRecentPlacers(),
 		fleet:         owner.NewFleet(s.Bounds.RemoteFactor, owner.DefaultParams()),
 		shards:        make(map[int]*shardRunner),
@@ -165,7 +165,7 @@
 	// has ordered, and these are stopped.
 	dialer := peer.NewDialer(a.member, a)
 	a.links = core.NewLinkSet(a.settings.Links, a, a.fleet, a.metrics, func(node string, reg core.Registration) core.AgentLink {
-		return dialer.Dial(ctx, node, reg.Links)
+		return dialer.Dial(ctx, node, reg.LinkAddr)
 	})
 	// From here on other processes can link this agent.
 	a.serving.Store(true)
@@ -183,7 +183,7 @@
 		case <-a.firstShard:
 		}
 		wg.Go(func() { a.links.Maintain(ctx) })
-		a.links.Follow(ctx, a.store)
+		a.links.FollowRegistry(ctx, a.store)
 	})
 	wg.Go(func() { a.membershipLoop(ctx, stored.Member) })
 	<-ctx.Done()
@@ -249,7 +249,7 @@
 			klog.InfoS("The agent has drained")
 			return
 		}
-		_ = pause.For(ctx, core.TickEvery)
+		_ = pause.For(ctx, core.TickInterval)
 	}
 }
 
@@ -284,7 +284,7 @@
 // Required returns the agents that have to be linked besides the chosen ones: those that may have
 // runs of a shard that was taken over, and those with ends that only owners can settle.
 func (a *Agent) Required() []string {
-	out := a.links.WithOrphans()
+	out := a.links.AgentsWithOrphans()
 	for _, r := range a.ownedShards() {
 		out = append(out, r.UnreconciledAgents()...)
 	}
@@ -292,7 +292,7 @@
 }
 
 // Occupied reports whether an agent may have runs of the shards that are open here.
-func (a *Agent) Occupied(node string) bool {
+func (a *Agent) MayHaveRunsAt(node string) bool {
 	return slices.ContainsFunc(a.ownedShards(), func(r *shardRunner) bool { return r.Shard.MayHaveRunsAt(node) })
 }
 
--- a/daemon/agent/backend.go
+++ b/daemon/agent/backend.go
@@ -56,7 +56,7 @@
 			_ = pause.For(ctx, noServerPause)
 			continue
 		}
-		if c.Known {
+		if c.UnackedEnds {
 			_ = pause.For(ctx, knownEndsPause)
 		}
 		began := bootclock.Now()
@@ -84,19 +84,19 @@
 	switch {
 	case c.First:
 		wait = 0
-	case c.Hurry:
+	case c.UnconfirmedStart:
 		wait = doubtfulWait
 	case c.Idle:
 		wait = idleWait
 	}
-	call, cancel := context.WithTimeout(ctx, wait+c.Patience)
+	call, cancel := context.WithTimeout(ctx, wait+c.ResponseTimeout)
 	defer cancel()
 	h, err := a.backend.Hold(call, c, wait)
 	if err != nil {
 		a.apply(a.worker.HoldFailed(bootclock.Now(), c, holdFailure(err)))
 		return err
 	}
-	a.apply(a.worker.Held(bootclock.Now(), c, h))
+	a.apply(a.worker.HoldAnswered(bootclock.Now(), c, h))
 	return nil
 }
 
@@ -111,7 +111,7 @@
 }
 
 func (a *Agent) start(c worker.StartCall) {
-	ctx, cancel := context.WithTimeout(context.Background(), c.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), c.ResponseTimeout)
 	defer cancel()
 	began := bootclock.Now()
 	outcome, reason := a.backend.Start(ctx, c)
@@ -143,7 +143,7 @@
 }
 
 func (a *Agent) tickLoop(ctx context.Context) {
-	t := time.NewTicker(core.TickEvery)
+	t := time.NewTicker(core.TickInterval)
 	defer t.Stop()
 	loggedAt := bootclock.Now()
 	for {
--- a/daemon/agent/backend_test.go
+++ b/daemon/agent/backend_test.go
@@ -28,9 +28,9 @@
 	r.stops.Add(1)
 	return false
 }
-func (r *resettingServer) Hold(context.Context, worker.HoldCall, time.Duration) (worker.Holding, error) {
+func (r *resettingServer) Hold(context.Context, worker.HoldCall, time.Duration) (worker.HoldResult, error) {
 	r.holds.Add(1)
-	return worker.Holding{}, errReset
+	return worker.HoldResult{}, errReset
 }
 
 // A backend server that is down accepts connections and resets them, so each call fails at once.
@@ -38,7 +38,7 @@
 // its jobs. With the backoff, about ten calls fit into 400 ms.
 func TestCallsThatFailAtOnceAreSpaced(t *testing.T) {
 	is := is.New(t)
-	a := New(coretest.Settings(), coretest.NoStore{}, core.DrainSource{}, nil)
+	a := New(coretest.Settings(), coretest.RejectingStore{}, core.DrainSource{}, nil)
 	server := &resettingServer{}
 	a.backend = server
 	a.worker.Report(bootclock.Now(), worker.Server{Instance: "i", Service: "desk", Capacity: job.Demand{CPUMillis: 1000}}, 1)
--- a/daemon/agent/callers.go
+++ b/daemon/agent/callers.go
@@ -107,7 +107,7 @@
 	f.Load.OrdersSeen = seen
 	f.Load.Placers = a.placers.Load()
 	f.Load.Orders = a.orders.Load()
-	f.Drains = a.drains.Frame()
+	f.Drains = a.drains.ToWire()
 	if s := a.stateOf(c); s != nil && s.recordFrame(now, summarizeLoad(&l)) {
 		f.Owned, f.OwnedValid = a.ownership(), true
 	}
--- a/daemon/agent/drains.go
+++ b/daemon/agent/drains.go
@@ -24,7 +24,7 @@
 // change.
 func (a *Agent) drainsChanged(s drains.State) {
 	a.fleet.SetDrained(s)
-	a.links.Drain(s)
+	a.links.SetDrained(s)
 	a.apply(a.worker.DrainDomain(bootclock.Now(), s.Has(a.settings.Domain)))
 	for c := range a.snapshotCallers() {
 		c.Send(emptyFrame)
@@ -45,10 +45,10 @@
 	a.drainsReadAt.Set(now)
 	go func() {
 		defer a.readingDrains.Store(false)
-		err := a.drains.Look(ctx, a.store)
+		err := a.drains.Refresh(ctx, a.store)
 		klog.InfoS("Looked for drains in the store, because no caller has confirmed them lately", "err", err)
 	}()
 }
 
 // LinkComplete implements peer.LinkHandler. Each frame carries the known drains.
-func (a *Agent) LinkComplete(f *corepb.ToAgent) { f.Drains = a.drains.Frame() }
+func (a *Agent) LinkComplete(f *corepb.ToAgent) { f.Drains = a.drains.ToWire() }
--- a/daemon/agent/drains_test.go
+++ b/daemon/agent/drains_test.go
@@ -17,7 +17,7 @@
 
 // drainStore has one drain and counts the reads of the whole partition.
 type drainStore struct {
-	coretest.NoStore
+	coretest.RejectingStore
 	reads atomic.Int32
 }
 
--- a/daemon/agent/enrol.go
+++ b/daemon/agent/enrol.go
@@ -19,7 +19,7 @@
 // result must not be used if ctx has ended.
 func (a *Agent) startIncarnation(ctx context.Context) int64 {
 	var incarnation int64
-	core.UntilDone(ctx, "Can't store the incarnation of the agent yet", func() error {
+	core.Retry(ctx, "Can't store the incarnation of the agent yet", func() error {
 		offset, err := a.appendNote(ctx, incarnationKey(a.settings.Name), []byte(a.member))
 		incarnation = offset + 1
 		return err
@@ -30,7 +30,7 @@
 // restoreNotes reads the notes of earlier incarnations, applies them, and returns them.
 func (a *Agent) restoreNotes(ctx context.Context) storedState {
 	var s storedState
-	core.UntilDone(ctx, "Can't read the notes of earlier incarnations yet", func() error {
+	core.Retry(ctx, "Can't read the notes of earlier incarnations yet", func() error {
 		var err error
 		s, err = a.readNotes(ctx)
 		return err
@@ -44,7 +44,7 @@
 		a.markerStored.Store(true)
 	}
 	if s.bestEffortOnly() {
-		a.worker.Former(s.Owners)
+		a.worker.SetFormerOwners(s.Owners)
 	}
 	return s
 }
@@ -55,7 +55,7 @@
 func (a *Agent) maintainRegistration(ctx context.Context) {
 	for ctx.Err() == nil {
 		before := a.registered.Load()
-		core.UntilDone(ctx, "Can't register the agent yet", func() error { return a.register(ctx) })
+		core.Retry(ctx, "Can't register the agent yet", func() error { return a.register(ctx) })
 		if a.registered.Load() != before {
 			_ = pause.For(ctx, registrationInterval)
 		}
@@ -73,7 +73,7 @@
 // register writes the registration to the registry, unless the registry has it already.
 func (a *Agent) register(ctx context.Context) error {
 	reg, ok := a.registration()
-	if last := a.registered.Load(); !ok || last != nil && reg.Same(last) {
+	if last := a.registered.Load(); !ok || last != nil && reg.Equal(last) {
 		return nil
 	}
 	if err := core.Announce(ctx, a.store, a.settings.Name, reg); err != nil {
@@ -81,7 +81,7 @@
 	}
 	a.registered.Store(reg)
 	a.recentPlacers.markDirty()
-	klog.InfoS("The agent is registered", "links", reg.Links, "zone", reg.Zone, "service", reg.Offer.Service, "labels", reg.Offer.Labels, "orphans", reg.Orphans)
+	klog.InfoS("The agent is registered", "links", reg.LinkAddr, "zone", reg.Domain, "service", reg.Offer.Service, "labels", reg.Offer.Labels, "orphans", reg.Orphans)
 	return nil
 }
 
@@ -101,7 +101,7 @@
 		return nil, false
 	}
 	return &core.Registration{
-		Links: a.settings.Listen.LinksAddress(), Zone: a.settings.Domain, Orphans: a.hasOrphans.Load(),
+		LinkAddr: a.settings.Listen.LinksAddress(), Domain: a.settings.Domain, Orphans: a.hasOrphans.Load(),
 		Offer: &core.Offer{Service: s.Service, Labels: s.Labels, Capacity: s.Capacity},
 	}, true
 }
@@ -112,7 +112,7 @@
 	if a.recentPlacers.writeDue(now) {
 		go a.writeNotes(ctx)
 	}
-	if !a.worker.Orphaned(now) || a.hasOrphans.Swap(true) {
+	if !a.worker.HasOrphanedEnds(now) || a.hasOrphans.Swap(true) {
 		return
 	}
 	klog.InfoS("Ends are waiting for the owners of their shards; asking the owners to claim")
@@ -154,7 +154,7 @@
 	if !changed {
 		return
 	}
-	klog.InfoS("The backend server has changed", "instance", s.Instance, "service", s.Service, "labels", s.Labels, "cores", s.Capacity.CPUMillis, "draining", s.Draining, "cold", s.Cold)
+	klog.InfoS("The backend server has changed", "instance", s.Instance, "service", s.Service, "labels", s.Labels, "cores", s.Capacity.CPUMillis, "draining", s.Draining, "cold", s.ColdRemaining)
 	a.recentPlacers.markDirty()
 }
 
@@ -186,4 +186,4 @@
 }
 
 // Left handles the deregistration of an instance of the backend server.
-func (a *Agent) Left(instance string) { a.apply(a.worker.Left(instance)) }
+func (a *Agent) Left(instance string) { a.apply(a.worker.Deregistered(instance)) }
--- a/daemon/agent/enrol_test.go
+++ b/daemon/agent/enrol_test.go
@@ -20,7 +20,7 @@
 
 // registryStore records the registrations that are written.
 type registryStore struct {
-	coretest.NoStore
+	coretest.RejectingStore
 	mu      sync.Mutex
 	written []core.Registration // guarded by mu
 }
--- a/daemon/agent/links_test.go
+++ b/daemon/agent/links_test.go
@@ -30,7 +30,7 @@
 // fakeLinks returns a link set that links all agents with fake links, and the links it has dialled.
 func fakeLinks(a *Agent, placer core.WorkPlacer) (*core.LinkSet, dialledLinks) {
 	all := make(dialledLinks)
-	return core.NewLinkSet(0, a, placer, core.NewCoreMetrics(), func(node string, _ core.Registration) core.AgentLink {
+	return core.NewLinkSet(0, a, placer, core.NewMetrics(), func(node string, _ core.Registration) core.AgentLink {
 		all[node] = true
 		return upLink{node: node, all: all}
 	}), all
@@ -45,14 +45,14 @@
 // shard; the others must keep no links.
 func TestAgentWithoutShardsKeepsNoLinks(t *testing.T) {
 	is := is.New(t)
-	a := New(&settings.Settings{Role: settings.RoleAgent, Name: "a", Store: settings.Store{Topics: 1, Partitions: 4}}, coretest.NoStore{}, core.DrainSource{}, nil)
+	a := New(&settings.Settings{Role: settings.RoleAgent, Name: "a", Store: settings.Store{Topics: 1, Partitions: 4}}, coretest.RejectingStore{}, core.DrainSource{}, nil)
 	links, all := fakeLinks(a, a.fleet)
 	a.links = links
 	links.Apply(registeredAgent("b", "10.0.0.2:7"))
 	is.Equal(len(all), 0)
 
 	links.Open() // as the agent does when it gets a shard
-	a.shards[1] = &shardRunner{Steps: core.NewSteps(owner.New(0, 1, 1, owner.Bounds{}, a.fleet, nil, nil), links, a.metrics)}
+	a.shards[1] = &shardRunner{ShardDriver: core.NewShardDriver(owner.New(0, 1, 1, owner.Bounds{}, a.fleet, nil, nil), links, a.metrics)}
 	links.Apply(registeredAgent("c", "10.0.0.3:7"))
 	is.Equal(slices.Sorted(maps.Keys(all)), []string{"b", "c"})
 
--- a/daemon/agent/membership.go
+++ b/daemon/agent/membership.go
@@ -38,7 +38,7 @@
 		}
 		cancel()
 	}
-	tick := time.NewTicker(core.JoinEvery)
+	tick := time.NewTicker(core.JoinInterval)
 	defer tick.Stop()
 	var generation int64
 	lost := false
@@ -89,7 +89,7 @@
 	switch {
 	case idle > idleLinkTimeout:
 		a.links.Close()
-	case idle == 0 && a.links.Needed():
+	case idle == 0 && a.links.HasOrphans():
 		a.links.Open()
 	}
 }
@@ -102,7 +102,7 @@
 	defer cancel()
 	sent := bootclock.Now()
 	shards := core.ShardSeries(a.settings)
-	m, err := a.store.Join(call, core.OwnersGroup, a.member, shards.Names(), a.membershipTTL(), generation)
+	m, err := a.store.Join(call, core.OwnersGroup, a.member, shards.TopicNames(), a.membershipTTL(), generation)
 	if err != nil {
 		return generation, err
 	}
--- a/daemon/agent/metrics.go
+++ b/daemon/agent/metrics.go
@@ -8,7 +8,7 @@
 )
 
 // registerWorkerMetrics registers the counters of the worker's state machine.
-func registerWorkerMetrics(m *core.CoreMetrics, w *worker.Worker) {
+func registerWorkerMetrics(m *core.Metrics, w *worker.Worker) {
 	for _, c := range []struct {
 		name, help string
 		value      func(worker.Stats) int64
@@ -16,10 +16,10 @@
 		{"starts_total", "Starts sent to the backend server.", func(s worker.Stats) int64 { return s.Started }},
 		{"orders_refused_total", "Orders and starts that did not run.", func(s worker.Stats) int64 { return s.Refused }},
 		{"orders_returned_total", "Orders handed back because they would have started too late.", func(s worker.Stats) int64 { return s.Returned }},
-		{"starts_doubtful_total", "Starts without an answer.", func(s worker.Stats) int64 { return s.Doubtful }},
+		{"starts_doubtful_total", "Starts without an answer.", func(s worker.Stats) int64 { return s.Unconfirmed }},
 		{"runs_lapsed_total", "Runs lost with the lease of a silent backend server.", func(s worker.Stats) int64 { return s.Lapsed }},
 		{"ends_voided_total", "Ends that must never count.", func(s worker.Stats) int64 { return s.Voided }},
-		{"runs_silenced_total", "Runs stopped because their owner was silent.", func(s worker.Stats) int64 { return s.Silenced }},
+		{"runs_silenced_total", "Runs stopped because their owner was silent.", func(s worker.Stats) int64 { return s.OwnerTimedOut }},
 		{"orders_drained_total", "Orders refused or handed back because the failure domain is drained.", func(s worker.Stats) int64 { return s.Drained }},
 		{"capacity_changes_total", "Changes of the backend server's capacity.", func(s worker.Stats) int64 { return s.Resized }},
 		{"stalls_total", "Times the backend server stood still.", func(s worker.Stats) int64 { return s.Stalled }},
--- a/daemon/agent/notes.go
+++ b/daemon/agent/notes.go
@@ -28,7 +28,7 @@
 func (a *Agent) notesPartition() store.Partition {
 	h := fnv.New32a()
 	h.Write([]byte(a.settings.Name)) //nolint:errcheck // it never fails
-	notes := core.Series{Prefix: "keyed.notes", Topics: notesTopics, Parts: a.settings.Store.Partitions}
+	notes := core.PartitionSeries{Prefix: "keyed.notes", Topics: notesTopics, PartitionsPerTopic: a.settings.Store.Partitions}
 	return notes.Partition(int(h.Sum32() % uint32(notes.Size())))
 }
 
@@ -126,7 +126,7 @@
 func (a *Agent) writeNotes(ctx context.Context) {
 	n := notes{Owners: a.recentPlacers.owners(), Member: a.member, Registered: a.registered.Load()}
 	if s, ok := a.worker.Server(); ok {
-		n.Server = newStoredServer(s, a.worker.Varies())
+		n.Server = newStoredServer(s, a.worker.CapacityChanged())
 	}
 	b, err := json.Marshal(&n)
 	if err != nil {
@@ -156,7 +156,7 @@
 		return
 	}
 	ctx := context.Background()
-	core.UntilDone(ctx, "Could not store the marker for recorded jobs yet; the owner's claim has to wait", func() error {
+	core.Retry(ctx, "Could not store the marker for recorded jobs yet; the owner's claim has to wait", func() error {
 		_, err := a.appendNote(ctx, markerKey(a.settings.Name), []byte(a.member))
 		return err
 	})
--- a/daemon/agent/requests.go
+++ b/daemon/agent/requests.go
@@ -23,8 +23,8 @@
 		reply(responseNotOwner)
 		return
 	}
-	if now := bootclock.Now(); a.links.Need(now, &spec, &p) && a.links.Opened() {
-		a.linkWaitUntil.Set(now + core.CoverWait)
+	if now := bootclock.Now(); a.links.RecordNeed(now, &spec, &p) && a.links.IsOpen() {
+		a.linkWaitUntil.Set(now + core.LinkWaitTimeout)
 		a.links.Reconcile(now)
 	}
 	a.awaitLinks(r)
@@ -45,13 +45,13 @@
 // owner would be refused because no worker is available. Later jobs don't wait: an agent that is
 // not linked by then is down.
 func (a *Agent) awaitLinks(r *shardRunner) {
-	if !a.links.Opened() {
+	if !a.links.IsOpen() {
 		klog.InfoS("Linking the agents for the first job of an owner", "shard", r.ID)
 		a.linkWaitUntil.Set(bootclock.Now() + linkWaitTimeout)
 		a.links.Open()
 	}
 	for bootclock.Now() < a.linkWaitUntil.Get() {
-		if wanted, known := a.links.Reach(); known && r.ReachableAgents() >= wanted {
+		if wanted, known := a.links.NumWanted(); known && r.ReachableAgents() >= wanted {
 			return
 		}
 		_ = pause.For(context.Background(), linkPollInterval)
--- a/daemon/agent/serve.go
+++ b/daemon/agent/serve.go
@@ -51,7 +51,7 @@
 	}
 	// The drains apply before the orders of the frame, because the sender knew them when it sent
 	// the orders.
-	a.drains.Told(f.GetDrains())
+	a.drains.Merge(f.GetDrains())
 	for _, p := range f.GetClaims() {
 		a.handleClaim(c, p)
 	}
@@ -149,18 +149,18 @@
 
 // LinkFrame implements peer.LinkHandler.
 func (a *Agent) LinkFrame(node string, _ int64, f *corepb.FromAgent) {
-	a.drains.Told(f.GetDrains())
+	a.drains.Merge(f.GetDrains())
 	if l := f.GetLoad(); l != nil {
 		a.fleet.Update(bootclock.Now(), node, wire.LoadFromWire(l))
 	}
 	for _, p := range f.GetClaimed() {
 		if r := a.shard(int(p.GetShard())); r != nil {
-			r.TakeClaimed(node, p)
+			r.HandleClaimed(node, p)
 		}
 	}
 	for _, p := range f.GetEvents() {
 		if r := a.shard(int(p.GetShard())); r != nil {
-			r.TakeEvent(node, p)
+			r.HandleEvent(node, p)
 		}
 	}
 	for _, r := range a.ownedShards() {
--- a/daemon/agent/shard.go
+++ b/daemon/agent/shard.go
@@ -39,7 +39,7 @@
 
 // shardRunner drives the state machine of a shard whose jobs are recorded.
 type shardRunner struct {
-	*core.Steps
+	*core.ShardDriver
 	agent     *Agent
 	partition store.Partition
 	producer  store.Producer
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	now := bootclock.Now()
-	r.Steps = core.NewSteps(owner.New(now, id, epoch, core.OwnerBounds(a.settings), a.fleet, records, agents), a.links, a.metrics)
+	r.ShardDriver = core.NewShardDriver(owner.New(now, id, epoch, core.OwnerBounds(a.settings), a.fleet, records, agents), a.links, a.metrics)
 	klog.InfoS("Took a shard over", "shard", id, "epoch", epoch, "jobs", len(records), "agents", agents, "took", now-began)
 	a.metrics.Takeover.Observe((now - began).Seconds())
 	ctx, r.stop = context.WithCancel(ctx)
@@ -89,7 +89,7 @@
 // run ticks the shard and writes what is due, one call at a time, until ctx ends.
 func (r *shardRunner) run(ctx context.Context) {
 	defer close(r.done)
-	tick := time.NewTicker(core.TickEvery)
+	tick := time.NewTicker(core.TickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -232,7 +232,7 @@
 			return err
 		}
 		unknown = unknown || !errors.Is(err, store.ErrRejected)
-		r.agent.metrics.Repeats.Inc()
+		r.agent.metrics.StoreRepeats.Inc()
 		if took > unavailableAfter {
 			r.storeUnavailable.Store(true)
 			r.MarkStoreUnavailable()
--- a/daemon/core/drains.go
+++ b/daemon/core/drains.go
@@ -32,67 +32,67 @@
 
 // DrainWatch is what a process knows of drains, and acts on a change.
 type DrainWatch struct {
-	source  DrainSource
-	book    drains.Tracker
-	changed func(drains.State)
+	source   DrainSource
+	tracker  drains.Tracker
+	onChange func(drains.State)
 	// acting keeps changes in their order: an older state that went into force after a newer
 	// one would stay.
-	acting sync.Mutex
+	notifyMu sync.Mutex
 }
 
 // NewDrainWatch returns a watch that knows nothing yet. The function has a changed state go
 // into force; it is called with one state at a time.
-func NewDrainWatch(source DrainSource, changed func(drains.State)) *DrainWatch {
-	return &DrainWatch{source: source, changed: changed}
+func NewDrainWatch(source DrainSource, onChange func(drains.State)) *DrainWatch {
+	return &DrainWatch{source: source, onChange: onChange}
 }
 
 // State is what is in force.
-func (w *DrainWatch) State() drains.State { return w.book.State() }
+func (w *DrainWatch) State() drains.State { return w.tracker.State() }
 
 // Age is how long ago the store confirmed what is known.
 func (w *DrainWatch) Age(now time.Duration) time.Duration {
-	_, age := w.book.Latest(now)
+	_, age := w.tracker.Latest(now)
 	return age
 }
 
 // Frame is what a frame tells.
-func (w *DrainWatch) Frame() *corepb.Drains {
-	state, age := w.book.Latest(bootclock.Now())
+func (w *DrainWatch) ToWire() *corepb.Drains {
+	state, age := w.tracker.Latest(bootclock.Now())
 	return wire.DrainsToWire(state, age)
 }
 
 // Told takes in what a frame says.
-func (w *DrainWatch) Told(p *corepb.Drains) {
+func (w *DrainWatch) Merge(p *corepb.Drains) {
 	if p == nil {
 		return
 	}
 	state, age := wire.DrainsFromWire(p)
-	if w.book.Update(bootclock.Now(), state, age) {
-		w.act("told")
+	if w.tracker.Update(bootclock.Now(), state, age) {
+		w.notify("told")
 	}
 }
 
 // act has the newest state go into force.
-func (w *DrainWatch) act(by string) {
-	w.acting.Lock()
-	defer w.acting.Unlock()
-	state := w.book.State()
-	klog.InfoS("Drains of failure domains have changed", "domains", state.Domains, "position", state.Position, "by", by)
-	w.changed(state)
+func (w *DrainWatch) notify(origin string) {
+	w.notifyMu.Lock()
+	defer w.notifyMu.Unlock()
+	state := w.tracker.State()
+	klog.InfoS("Drains of failure domains have changed", "domains", state.Domains, "position", state.Position, "by", origin)
+	w.onChange(state)
 }
 
 // Follow keeps the watch up to date from the store until the context ends. Other gets each
 // record of the partition as well, if it is set.
 func (w *DrainWatch) Follow(ctx context.Context, st store.Store, name string, other func(store.Record)) {
-	reader := drains.NewReplayer(&w.book)
+	replayer := drains.NewReplayer(&w.tracker)
 	f := &follower{
 		store: st, partition: w.source.Partition, wait: ConfigWait, name: name,
-		begin: reader.Reset, reached: func(position int64) { w.reached(reader, position) },
+		onReset: replayer.Reset, onPosition: func(position int64) { w.publish(replayer, position) },
 		apply: func(r store.Record) {
 			if other != nil {
 				other(r)
 			}
-			w.apply(reader, r)
+			w.applyRecord(replayer, r)
 		},
 	}
 	f.run(ctx)
@@ -102,7 +102,7 @@
 func (w *DrainWatch) Partition() store.Partition { return w.source.Partition }
 
 // apply hands a record to a reader, if it is one of a drain.
-func (w *DrainWatch) apply(to *drains.Replayer, r store.Record) {
+func (w *DrainWatch) applyRecord(replayer *drains.Replayer, r store.Record) {
 	change, ok, err := w.source.Decode(r)
 	if err != nil {
 		metrics.Malformed(metrics.KindDrain)
@@ -110,39 +110,39 @@
 		return
 	}
 	if ok {
-		to.Apply(change)
+		replayer.Apply(change)
 	}
 }
 
 // reached notes how far the records were read.
-func (w *DrainWatch) reached(r *drains.Replayer, position int64) {
-	if r.Publish(bootclock.Now(), position) {
-		w.act("store")
+func (w *DrainWatch) publish(replayer *drains.Replayer, position int64) {
+	if replayer.Publish(bootclock.Now(), position) {
+		w.notify("store")
 	}
 }
 
 // Look reads what has come to the store since the newest state that is known.
-func (w *DrainWatch) Look(ctx context.Context, st store.Store) error {
+func (w *DrainWatch) Refresh(ctx context.Context, st store.Store) error {
 	ctx, cancel := context.WithTimeout(ctx, StoreTimeout)
 	defer cancel()
-	reader := drains.NewReplayer(&w.book)
-	records, next, err := w.since(ctx, st, w.book.State().Position)
+	replayer := drains.NewReplayer(&w.tracker)
+	records, next, err := w.readSince(ctx, st, w.tracker.State().Position)
 	if errors.Is(err, store.ErrTrimmed) {
-		reader.Reset()
+		replayer.Reset()
 		records, next, err = st.Newest(ctx, w.source.Partition)
 	}
 	if err != nil {
 		return err
 	}
 	for _, r := range records {
-		w.apply(reader, r)
+		w.applyRecord(replayer, r)
 	}
-	w.reached(reader, next)
+	w.publish(replayer, next)
 	return nil
 }
 
 // since reads the records from a position on.
-func (w *DrainWatch) since(ctx context.Context, st store.Store, position int64) ([]store.Record, int64, error) {
+func (w *DrainWatch) readSince(ctx context.Context, st store.Store, position int64) ([]store.Record, int64, error) {
 	if position == 0 {
 		return nil, 0, store.ErrTrimmed // all there are have to be read
 	}
--- a/daemon/core/known.go
+++ b/daemon/core/known.go
@@ -11,12 +11,12 @@
 )
 
 // Follow learns of agents by the registry until the context ends.
-func (l *LinkSet) Follow(ctx context.Context, st store.Store) {
+func (l *LinkSet) FollowRegistry(ctx context.Context, st store.Store) {
 	f := &follower{
-		store: st, partition: RegistryPartition, wait: registryWait, rest: registryPause, name: "registry",
-		apply: l.learn, applied: func() {
+		store: st, partition: RegistryPartition, wait: registryWait, batchDelay: registryBatchDelay, name: "registry",
+		apply: l.applyRecord, afterBatch: func() {
 			l.mu.Lock()
-			l.wasRead = true
+			l.registryRead = true
 			l.mu.Unlock()
 			l.Reconcile(bootclock.Now())
 		},
@@ -25,7 +25,7 @@
 }
 
 // learn takes in a record of the registry.
-func (l *LinkSet) learn(r store.Record) {
+func (l *LinkSet) applyRecord(r store.Record) {
 	if r.Value == nil {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -41,26 +41,26 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if old, ok := l.known[r.Key]; !ok || old.Zone != reg.Zone {
+	if old, ok := l.known[r.Key]; !ok || old.Domain != reg.Domain {
 		l.order = nil
 	}
 	l.known[r.Key] = reg
-	l.orphans = l.orphans || reg.Orphans
+	l.orphansSeen = l.orphansSeen || reg.Orphans
 }
 
 // Needed reports whether agents have ends that wait for owners.
-func (l *LinkSet) Needed() bool {
+func (l *LinkSet) HasOrphans() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.orphans
+	return l.orphansSeen
 }
 
 // WithOrphans names the agents that have ends which wait for owners.
-func (l *LinkSet) WithOrphans() []string {
+func (l *LinkSet) AgentsWithOrphans() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []string
-	if !l.orphans {
+	if !l.orphansSeen {
 		return out
 	}
 	for node, reg := range l.known {
@@ -73,12 +73,12 @@
 
 // Domains counts the known agents of each failure domain; false before the registry was
 // read.
-func (l *LinkSet) Domains() (map[string]int, bool) {
+func (l *LinkSet) AgentsPerDomain() (map[string]int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make(map[string]int)
 	for _, reg := range l.known {
-		out[reg.Zone]++
+		out[reg.Domain]++
 	}
-	return out, l.wasRead
+	return out, l.registryRead
 }
--- a/daemon/core/links.go
+++ b/daemon/core/links.go
@@ -21,12 +21,12 @@
 const (
 	// darkAfter is how long a link may be down before another agent stands in for it.
 	// A lost link is dialled again within 0.3 s, a process is back within a second.
-	darkAfter = time.Second
+	downTimeout = time.Second
 	// retireAfter is the least time for which a link that is not wanted any more stays:
 	// news of what was ordered there last is on its way.
-	retireAfter = time.Second
+	retireDelay = time.Second
 	// linksEvery is the pace at which the links are compared with what is wanted.
-	linksEvery = 150 * time.Millisecond
+	reconcileInterval = 150 * time.Millisecond
 )
 
 // linkUser is the process whose links a set keeps. Its methods may be called at any time
@@ -37,14 +37,14 @@
 	// Required names agents that have to be linked whatever the choice is.
 	Required() []string
 	// Occupied reports whether anything of this process may be at an agent.
-	Occupied(node string) bool
+	MayHaveRunsAt(node string) bool
 }
 
 // WorkPlacer places the user's work on the linked agents. It is an owner.Fleet.
 type WorkPlacer interface {
 	// SetRetired says whether an agent gets no new work: its link is about to end, or is there
 	// because it is required.
-	SetRetired(node string, yes bool)
+	SetRetired(node string, retired bool)
 	// FreeShare is the part of some agents' cores that is free.
 	FreeShare(nodes []string) float64
 }
@@ -62,38 +62,38 @@
 	dial    func(node string, reg Registration) AgentLink
 	user    linkUser
 	placer  WorkPlacer
-	metrics *CoreMetrics
+	metrics *Metrics
 	// size is the number of links to agents that are there.
 	size int
 
 	// changing is held while links are dialled and closed. Closing one waits for
 	// its handler, which uses the set, so mu must not be held meanwhile.
-	changing sync.Mutex
+	changeMu sync.Mutex
 
 	mu sync.Mutex
 	// All fields below are guarded by mu.
 
-	links map[string]*keptLink
+	links map[string]*managedLink
 	known map[string]Registration
 	// order is that in which agents are preferred; nil: to be found anew. It was found
 	// for the share.
 	order []string
 	share subset.Share
 	// added are the agents that the subset has been stretched by.
-	added   []string
-	stretch subset.Expander
-	needs   needs
+	extraAgents []string
+	expander    subset.Expander
+	needs       needs
 	// drained are the failure domains in which nothing is newly started.
 	drained drains.State
 	// orphans is set once an agent has announced ends that only owners can settle.
-	orphans bool
+	orphansSeen bool
 	// wasRead is set once the registry was read.
-	wasRead bool
-	isOpen  bool
+	registryRead bool
+	isOpen       bool
 }
 
 // keptLink is a link and what is known of it. Guarded by linkSet.mu.
-type keptLink struct {
+type managedLink struct {
 	AgentLink
 	addr string
 	// downSince is since when it was seen down; zero: it is up, or was not looked at.
@@ -101,41 +101,41 @@
 	// retiredAt is when it stopped being wanted; zero: it is wanted.
 	retiredAt time.Duration
 	// works is set while new work may go to the agent.
-	works bool
+	assignable bool
 }
 
 // NewLinkSet returns a set that is not open. The size is that of the subset; zero takes
 // all agents.
-func NewLinkSet(size int, user linkUser, placer WorkPlacer, m *CoreMetrics, dial func(node string, reg Registration) AgentLink) *LinkSet {
+func NewLinkSet(size int, user linkUser, placer WorkPlacer, m *Metrics, dial func(node string, reg Registration) AgentLink) *LinkSet {
 	return &LinkSet{
 		dial: dial, user: user, placer: placer, metrics: m, size: size,
-		links: make(map[string]*keptLink), known: make(map[string]Registration),
-		stretch: subset.NewExpander(size), needs: make(needs),
+		links: make(map[string]*managedLink), known: make(map[string]Registration),
+		expander: subset.NewExpander(size), needs: make(needs),
 	}
 }
 
 // Maintain keeps the links as they are wanted until the context ends.
 func (l *LinkSet) Maintain(ctx context.Context) {
-	for pause.For(ctx, linksEvery) == nil {
+	for pause.For(ctx, reconcileInterval) == nil {
 		l.Reconcile(bootclock.Now())
 	}
 }
 
 // Apply takes in a record of the registry and links its agent, if it is wanted.
 func (l *LinkSet) Apply(r store.Record) {
-	l.learn(r)
+	l.applyRecord(r)
 	l.Reconcile(bootclock.Now())
 }
 
 // Opened reports whether the set is open.
-func (l *LinkSet) Opened() bool {
+func (l *LinkSet) IsOpen() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.isOpen
 }
 
 // Reach is how many agents the set is to link; false before the registry was read.
-func (l *LinkSet) Reach() (int, bool) {
+func (l *LinkSet) NumWanted() (int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	wanted := 0
@@ -144,11 +144,11 @@
 			wanted++
 		}
 	}
-	return wanted, l.wasRead
+	return wanted, l.registryRead
 }
 
 // Settled reports whether all links that are wanted are up.
-func (l *LinkSet) Settled() bool {
+func (l *LinkSet) AllWantedUp() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, k := range l.links {
@@ -179,8 +179,8 @@
 
 // Close ends all links. The agents stay known.
 func (l *LinkSet) Close() {
-	l.changing.Lock()
-	defer l.changing.Unlock()
+	l.changeMu.Lock()
+	defer l.changeMu.Unlock()
 	l.mu.Lock()
 	l.isOpen = false
 	links := slices.Collect(maps.Keys(l.links))
@@ -191,15 +191,15 @@
 }
 
 // full takes in that a job found no room.
-func (l *LinkSet) full(now time.Duration) {
+func (l *LinkSet) recordRefusal(now time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stretch.RecordRefusal(now)
+	l.expander.RecordRefusal(now)
 }
 
 // Drain takes in which failure domains are drained. Their agents stay linked, since what
 // runs there runs on, and others are linked beside them.
-func (l *LinkSet) Drain(s drains.State) {
+func (l *LinkSet) SetDrained(s drains.State) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.drained = s
@@ -216,12 +216,12 @@
 }
 
 // replace dials an agent at its address, in place of a link to an older one.
-func (l *LinkSet) replace(node string, reg Registration, works bool) {
+func (l *LinkSet) replace(node string, reg Registration, assignable bool) {
 	l.Drop(node)
 	link := l.dial(node, reg)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.links[node] = &keptLink{AgentLink: link, addr: reg.Links, works: works}
+	l.links[node] = &managedLink{AgentLink: link, addr: reg.LinkAddr, assignable: assignable}
 }
 
 // Drop ends the link to an agent, if there is one.
--- a/daemon/core/links_test.go
+++ b/daemon/core/links_test.go
@@ -38,7 +38,7 @@
 
 func (u *fakeUser) Share() subset.Share              { return u.share }
 func (u *fakeUser) Required() []string               { return u.required }
-func (u *fakeUser) Occupied(node string) bool        { return u.occupied[node] }
+func (u *fakeUser) MayHaveRunsAt(node string) bool   { return u.occupied[node] }
 func (u *fakeUser) SetRetired(node string, yes bool) { u.retired[node] = yes }
 func (u *fakeUser) FreeShare([]string) float64       { return u.free }
 
@@ -49,8 +49,8 @@
 // newFakeLinks returns a set of so many links; zero: of all.
 func newFakeLinks(size int, user linkUser, placer WorkPlacer) (*LinkSet, dialled) {
 	all := dialled{}
-	return NewLinkSet(size, user, placer, NewCoreMetrics(), func(node string, reg Registration) AgentLink {
-		all[node] = reg.Links
+	return NewLinkSet(size, user, placer, NewMetrics(), func(node string, reg Registration) AgentLink {
+		all[node] = reg.LinkAddr
 		return &fakeLink{node: node, all: all}
 	}), all
 }
@@ -84,7 +84,7 @@
 		if i%10 == 0 {
 			label = "wide"
 		}
-		l.learn(store.Record{Key: fmt.Sprintf("side-%d", i), Value: fmt.Appendf(nil,
+		l.applyRecord(store.Record{Key: fmt.Sprintf("side-%d", i), Value: fmt.Appendf(nil,
 			`{"links":"10.0.%d.%d:7","zone":"zone-%d","offer":{"service":"desk","labels":["%s"],"capacity":{"CPUMillis":16000}}}`, i/200, i%200, i%5, label)})
 	}
 }
@@ -118,9 +118,9 @@
 		links.links[node].AgentLink.(*fakeLink).down = true
 	}
 	links.Reconcile(now)
-	links.Reconcile(now + darkAfter - 1)
+	links.Reconcile(now + downTimeout - 1)
 	is.Equal(len(all), 16)
-	now += darkAfter
+	now += downTimeout
 	links.Reconcile(now)
 	is.Equal(len(all), 24)
 
@@ -141,10 +141,10 @@
 	}
 	is.Equal(standIns, 8)
 	user.occupied[busy] = true
-	links.Reconcile(now + 1 + retireAfter)
+	links.Reconcile(now + 1 + retireDelay)
 	is.Equal(len(all), 17)
 	delete(user.occupied, busy)
-	links.Reconcile(now + 2 + retireAfter)
+	links.Reconcile(now + 2 + retireDelay)
 	is.Equal(len(all), 16)
 }
 
@@ -155,11 +155,11 @@
 	user := newFakeUser()
 	links, all, now := newLinkedFleet(20, user)
 	before := maps.Clone(all)
-	links.Drain(drains.State{Position: 1, Domains: []string{"zone-2"}})
+	links.SetDrained(drains.State{Position: 1, Domains: []string{"zone-2"}})
 	links.Reconcile(now)
 	serving := 0
 	for node := range all {
-		if links.known[node].Zone != "zone-2" {
+		if links.known[node].Domain != "zone-2" {
 			serving++
 		}
 	}
@@ -167,9 +167,9 @@
 	for node := range before {
 		is.True(all[node] != "")
 	}
-	links.Drain(drains.State{Position: 2})
+	links.SetDrained(drains.State{Position: 2})
 	links.Reconcile(now)
-	links.Reconcile(now + retireAfter)
+	links.Reconcile(now + retireDelay)
 	is.Equal(all, before)
 }
 
@@ -177,20 +177,20 @@
 func TestNeedsCountNoDrainedAgents(t *testing.T) {
 	is := is.New(t)
 	links, all, now := newLinkedFleet(16, newFakeUser())
-	links.Drain(drains.State{Position: 1, Domains: []string{"zone-0"}})
+	links.SetDrained(drains.State{Position: 1, Domains: []string{"zone-0"}})
 	spec := &job.Spec{Steps: []job.Step{{Count: 1, Label: "wide", Demand: job.Demand{CPUMillis: 1000}}}}
-	links.Need(now, spec, &job.Policy{Service: "desk"})
+	links.RecordNeed(now, spec, &job.Policy{Service: "desk"})
 	links.Reconcile(now)
 	is.True(len(all) <= 2*16) // all that have the label are in zone-0, and none is linked in vain
-	links.Drain(drains.State{Position: 2})
-	is.True(links.Need(now+needMemory+1, spec, &job.Policy{Service: "desk"}))
+	links.SetDrained(drains.State{Position: 2})
+	is.True(links.RecordNeed(now+needTTL+1, spec, &job.Policy{Service: "desk"}))
 }
 
 // Guards against links of all agents, or a loop without end, when every domain is drained.
 func TestAllDomainsDrainedLinksNoMore(t *testing.T) {
 	is := is.New(t)
 	links, all, now := newLinkedFleet(16, newFakeUser())
-	links.Drain(drains.State{Position: 1, Domains: []string{"zone-0", "zone-1", "zone-2", "zone-3", "zone-4"}})
+	links.SetDrained(drains.State{Position: 1, Domains: []string{"zone-0", "zone-1", "zone-2", "zone-3", "zone-4"}})
 	links.Reconcile(now)
 	is.Equal(len(all), 32)
 }
@@ -201,7 +201,7 @@
 	is := is.New(t)
 	links, all, now := newLinkedFleet(16, newFakeUser())
 	spec := &job.Spec{Steps: []job.Step{{Count: 1, Label: "wide", Demand: job.Demand{CPUMillis: 1000}}}}
-	is.True(links.Need(now, spec, &job.Policy{Service: "desk"}))
+	is.True(links.RecordNeed(now, spec, &job.Policy{Service: "desk"}))
 	links.Reconcile(now)
 	wide := 0
 	for node := range all {
@@ -209,15 +209,15 @@
 			wide++
 		}
 	}
-	is.Equal(wide, leastOffering)
-	is.True(!links.Need(now, spec, &job.Policy{Service: "desk"}))
+	is.Equal(wide, minAgentsPerNeed)
+	is.True(!links.RecordNeed(now, spec, &job.Policy{Service: "desk"}))
 
 	spec = &job.Spec{Steps: []job.Step{{Count: 1000, Demand: job.Demand{CPUMillis: 1000}}}}
-	is.True(links.Need(now, spec, &job.Policy{Service: "desk"}))
+	is.True(links.RecordNeed(now, spec, &job.Policy{Service: "desk"}))
 	links.Reconcile(now)
 	is.True(len(all) >= 63) // 1,000 tasks of a core on workers of 16
-	links.Reconcile(now + needMemory + 1)
-	links.Reconcile(now + needMemory + 1 + retireAfter)
+	links.Reconcile(now + needTTL + 1)
+	links.Reconcile(now + needTTL + 1 + retireDelay)
 	is.Equal(len(all), 16)
 }
 
@@ -227,7 +227,7 @@
 	is := is.New(t)
 	links, all, now := newLinkedFleet(16, newFakeUser())
 	spec := &job.Spec{Steps: []job.Step{{Count: 1, Label: "unheard of", Demand: job.Demand{CPUMillis: 1000}}}}
-	is.True(!links.Need(now, spec, &job.Policy{Service: "desk"}))
+	is.True(!links.RecordNeed(now, spec, &job.Policy{Service: "desk"}))
 	links.Reconcile(now)
 	is.Equal(len(all), 16)
 }
--- a/daemon/core/metrics.go
+++ b/daemon/core/metrics.go
@@ -19,37 +19,37 @@
 var latencyBuckets = []float64{.001, .002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 5}
 
 // CoreMetrics are the counters and histograms of a process.
-type CoreMetrics struct {
+type Metrics struct {
 	Registry *prometheus.Registry
 	// refusals and retries are counted by reason, decisions by their kind.
 	refusals      *prometheus.CounterVec
 	Retries       *prometheus.CounterVec
 	decisions     *prometheus.CounterVec
 	StartRefusals *prometheus.CounterVec
-	Repeats       prometheus.Counter
+	StoreRepeats  prometheus.Counter
 	// links counts links that were dialled and retired, linked is how many are wanted.
-	links    *prometheus.CounterVec
-	linked   prometheus.Gauge
-	Append   prometheus.Histogram
-	Start    prometheus.Histogram
-	Takeover prometheus.Histogram
-	Submit   prometheus.Histogram
-	Lookup   prometheus.Histogram
+	linkChanges *prometheus.CounterVec
+	linksWanted prometheus.Gauge
+	Append      prometheus.Histogram
+	Start       prometheus.Histogram
+	Takeover    prometheus.Histogram
+	Submit      prometheus.Histogram
+	Lookup      prometheus.Histogram
 }
 
 // NewCoreMetrics returns metrics in a registry of their own.
-func NewCoreMetrics() *CoreMetrics {
-	m := &CoreMetrics{
+func NewMetrics() *Metrics {
+	m := &Metrics{
 		Registry:      prometheus.NewRegistry(),
 		refusals:      counter("refusals_total", "Jobs refused or left open, by reason.", "reason"),
 		Retries:       counter("retries_total", "Questions sent to another owner, by reason.", "reason"),
 		decisions:     counter("decisions_total", "Decisions on jobs, by kind.", "kind"),
 		StartRefusals: counter("start_refusals_total", "Starts that the backend server has not confirmed, by reason.", "reason"),
-		Repeats: prometheus.NewCounter(prometheus.CounterOpts{
+		StoreRepeats: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: Namespace, Name: "store_repeats_total", Help: "Writes repeated under the same number.",
 		}),
-		links: counter("link_changes_total", "Agents that were linked and links that were retired.", "change"),
-		linked: prometheus.NewGauge(prometheus.GaugeOpts{
+		linkChanges: counter("link_changes_total", "Agents that were linked and links that were retired.", "change"),
+		linksWanted: prometheus.NewGauge(prometheus.GaugeOpts{
 			Namespace: Namespace, Name: "links_wanted", Help: "Agents that this process keeps links to.",
 		}),
 		Append:   histogram("store_append_seconds", "From the first attempt of a write to its confirmation."),
@@ -59,7 +59,7 @@
 		Lookup:   histogram("lookup_seconds", "Questions for a job's state at the entry."),
 	}
 	m.Registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
-		m.refusals, m.Retries, m.decisions, m.StartRefusals, m.Repeats, m.links, m.linked, m.Append, m.Start, m.Takeover, m.Submit, m.Lookup,
+		m.refusals, m.Retries, m.decisions, m.StartRefusals, m.StoreRepeats, m.linkChanges, m.linksWanted, m.Append, m.Start, m.Takeover, m.Submit, m.Lookup,
 		metrics.MalformedCollector())
 	return m
 }
@@ -73,25 +73,25 @@
 }
 
 // Verdict counts what was not accepted.
-func (m *CoreMetrics) Verdict(v owner.Response) {
+func (m *Metrics) CountResponse(v owner.Response) {
 	if v.Outcome == owner.Refused || v.Outcome == owner.Unknown {
 		m.refusals.WithLabelValues(v.Reason).Inc()
 	}
 }
 
 // Handler serves the metrics as text.
-func (m *CoreMetrics) Handler() http.Handler {
+func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.Registry, promhttp.HandlerOpts{})
 }
 
 // WatchFleet registers what placing costs.
-func (m *CoreMetrics) WatchFleet(f *owner.Fleet) {
+func (m *Metrics) WatchFleet(f *owner.Fleet) {
 	opts := prometheus.CounterOpts{Namespace: Namespace, Name: "placement_looks_total", Help: "Agents looked at to place tasks."}
 	m.Registry.MustRegister(prometheus.NewCounterFunc(opts, func() float64 { return float64(f.AgentsExamined()) }))
 }
 
 // WatchDrains registers what is known of drained failure domains.
-func (m *CoreMetrics) WatchDrains(w *DrainWatch) {
+func (m *Metrics) WatchDrains(w *DrainWatch) {
 	m.Registry.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Namespace: Namespace, Name: "drained_domains", Help: "Failure domains in which nothing is newly started.",
--- a/daemon/core/needs.go
+++ b/daemon/core/needs.go
@@ -15,9 +15,9 @@
 // Need is how many agents a step has use for, what a task of it takes, and when one was
 // submitted last.
 type need struct {
-	least  int
-	demand job.Demand
-	usedAt time.Duration
+	minAgents int
+	demand    job.Demand
+	lastUsed  time.Duration
 }
 
 // needs are what the jobs of the last time have asked for. A subset is chosen without
@@ -27,57 +27,57 @@
 
 const (
 	// needMemory is how long agents that were linked for a need are kept.
-	needMemory = time.Minute
+	needTTL = time.Minute
 	// mostNeeds bounds the needs that are remembered; the oldest leave.
-	mostNeeds = 64
+	maxNeeds = 64
 	// leastOffering is how many agents a need is given, if there are as many and a subset
 	// has as many: with few a lost one would take much of the room.
-	leastOffering = 8
+	minAgentsPerNeed = 8
 )
 
 // note takes in a step, and reports whether the need is new or greater than before.
-func (n needs) note(now time.Duration, key needKey, least int, demand job.Demand) bool {
-	old, known := n[key]
-	if now-old.usedAt > needMemory {
-		old.least, old.demand = 0, job.Demand{}
+func (n needs) record(now time.Duration, key needKey, minAgents int, demand job.Demand) bool {
+	previous, known := n[key]
+	if now-previous.lastUsed > needTTL {
+		previous.minAgents, previous.demand = 0, job.Demand{}
 	}
-	n[key] = need{least: max(old.least, least), demand: largest(old.demand, demand), usedAt: now}
-	if len(n) > mostNeeds {
+	n[key] = need{minAgents: max(previous.minAgents, minAgents), demand: maxDemand(previous.demand, demand), lastUsed: now}
+	if len(n) > maxNeeds {
 		n.dropOldest()
 	}
-	return !known || least > old.least || !demand.Fits(old.demand)
+	return !known || minAgents > previous.minAgents || !demand.Fits(previous.demand)
 }
 
-func largest(a, b job.Demand) job.Demand {
+func maxDemand(a, b job.Demand) job.Demand {
 	return job.Demand{CPUMillis: max(a.CPUMillis, b.CPUMillis), MemoryMB: max(a.MemoryMB, b.MemoryMB), GPUs: max(a.GPUs, b.GPUs)}
 }
 
 func (n needs) dropOldest() {
 	keys := slices.Collect(maps.Keys(n))
-	delete(n, slices.MinFunc(keys, func(a, b needKey) int { return int(n[a].usedAt - n[b].usedAt) }))
+	delete(n, slices.MinFunc(keys, func(a, b needKey) int { return int(n[a].lastUsed - n[b].lastUsed) }))
 }
 
 // fill adds to the wanted agents what the needs lack of those that are known to serve, in the
 // order of preference.
-func (n needs) fill(now time.Duration, order []string, known map[string]Registration, wanted map[string]bool) {
-	for key, of := range n {
-		if now-of.usedAt > needMemory {
+func (n needs) addAgents(now time.Duration, order []string, known map[string]Registration, wanted map[string]bool) {
+	for key, need := range n {
+		if now-need.lastUsed > needTTL {
 			delete(n, key)
 			continue
 		}
-		have := 0
+		capable := 0
 		for node := range wanted {
-			if reg, ok := known[node]; ok && offers(reg, key, of.demand) {
-				have++
+			if reg, ok := known[node]; ok && meetsNeed(reg, key, need.demand) {
+				capable++
 			}
 		}
 		for _, node := range order {
-			if have >= of.least {
+			if capable >= need.minAgents {
 				break
 			}
-			if reg, ok := known[node]; ok && !wanted[node] && offers(reg, key, of.demand) {
+			if reg, ok := known[node]; ok && !wanted[node] && meetsNeed(reg, key, need.demand) {
 				wanted[node] = true
-				have++
+				capable++
 			}
 		}
 	}
@@ -85,7 +85,7 @@
 
 // Offers reports whether an agent may run what a need is for. One that has not said what
 // it offers is taken to.
-func offers(reg Registration, key needKey, demand job.Demand) bool {
+func meetsNeed(reg Registration, key needKey, demand job.Demand) bool {
 	o := reg.Offer
 	if o == nil {
 		return true
@@ -95,19 +95,19 @@
 
 // leastFor is how many agents a step has use for, a few at least: enough for its widest
 // moment, and for its bound on tasks at one worker.
-func leastFor(st *job.Step, perAgent int64, few int) int {
-	least := few
+func minAgentsFor(st *job.Step, cpuPerAgent int64, minimum int) int {
+	agents := minimum
 	if st.MaxPerWorker > 0 {
-		least = max(least, (st.Count+st.MaxPerWorker-1)/st.MaxPerWorker)
+		agents = max(agents, (st.Count+st.MaxPerWorker-1)/st.MaxPerWorker)
 	}
-	if perAgent > 0 {
-		least = max(least, int((int64(st.Count)*st.Demand.CPUMillis+perAgent-1)/perAgent))
+	if cpuPerAgent > 0 {
+		agents = max(agents, int((int64(st.Count)*st.Demand.CPUMillis+cpuPerAgent-1)/cpuPerAgent))
 	}
-	return least
+	return agents
 }
 
 // Offers are the capacities that agents with backend servers of a service have registered.
-func (l *LinkSet) Offers(service string) map[string]job.Demand {
+func (l *LinkSet) RegisteredCapacities(service string) map[string]job.Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make(map[string]job.Demand)
@@ -121,29 +121,29 @@
 
 // Need takes in what a job's steps ask for, and reports whether links have to be made
 // for it.
-func (l *LinkSet) Need(now time.Duration, spec *job.Spec, p *job.Policy) bool {
+func (l *LinkSet) RecordNeed(now time.Duration, spec *job.Spec, p *job.Policy) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	more := false
+	linksNeeded := false
 	for i := range spec.Steps {
 		st := &spec.Steps[i]
 		key := needKey{service: p.Service, label: st.Label}
-		least := leastFor(st, l.capacityLocked(key, st.Demand), min(leastOffering, l.sizeLocked()))
-		if l.needs.note(now, key, least, st.Demand) && l.lacksLocked(key, least, st.Demand) {
-			more = true
+		minAgents := minAgentsFor(st, l.agentCPULocked(key, st.Demand), min(minAgentsPerNeed, l.sizeLocked()))
+		if l.needs.record(now, key, minAgents, st.Demand) && l.lacksAgentsLocked(key, minAgents, st.Demand) {
+			linksNeeded = true
 		}
 	}
-	return more
+	return linksNeeded
 }
 
 // openLocked are the known agents whose failure domains are not drained.
-func (l *LinkSet) openLocked() map[string]Registration {
+func (l *LinkSet) undrainedLocked() map[string]Registration {
 	if len(l.drained.Domains) == 0 {
 		return l.known
 	}
 	out := make(map[string]Registration, len(l.known))
 	for node, reg := range l.known {
-		if !l.drained.Has(reg.Zone) {
+		if !l.drained.Has(reg.Domain) {
 			out[node] = reg
 		}
 	}
@@ -152,9 +152,9 @@
 
 // capacityLocked is what an agent with a need's offer has, in thousandths of a core; zero
 // if no such agent is known.
-func (l *LinkSet) capacityLocked(key needKey, demand job.Demand) int64 {
+func (l *LinkSet) agentCPULocked(key needKey, demand job.Demand) int64 {
 	for _, node := range l.order {
-		if reg := l.known[node]; reg.Offer != nil && offers(reg, key, demand) {
+		if reg := l.known[node]; reg.Offer != nil && meetsNeed(reg, key, demand) {
 			return reg.Offer.Capacity.CPUMillis
 		}
 	}
@@ -163,16 +163,16 @@
 
 // lacksLocked reports whether too few agents are linked that may run what a need is for,
 // and others are known. Where none is, a job has nothing to wait for.
-func (l *LinkSet) lacksLocked(key needKey, least int, demand job.Demand) bool {
+func (l *LinkSet) lacksAgentsLocked(key needKey, minAgents int, demand job.Demand) bool {
 	linked, others := 0, 0
-	for node, reg := range l.openLocked() {
+	for node, reg := range l.undrainedLocked() {
 		switch {
-		case !offers(reg, key, demand):
+		case !meetsNeed(reg, key, demand):
 		case l.links[node] != nil:
 			linked++
 		default:
 			others++
 		}
 	}
-	return linked < least && others > 0
+	return linked < minAgents && others > 0
 }
--- a/daemon/core/partitions.go
+++ b/daemon/core/partitions.go
@@ -10,22 +10,22 @@
 
 // Series is partitions of several topics that are numbered through: those of the first
 // topic, then those of the second, and so on.
-type Series struct {
+type PartitionSeries struct {
 	Prefix string
 	// Topics of parts partitions each.
-	Topics, Parts int
+	Topics, PartitionsPerTopic int
 }
 
 // ShardSeries has the shards of the recorded jobs.
-func ShardSeries(s *settings.Settings) Series {
-	return Series{Prefix: "keyed.jobs", Topics: s.Store.Topics, Parts: s.Store.Partitions}
+func ShardSeries(s *settings.Settings) PartitionSeries {
+	return PartitionSeries{Prefix: "keyed.jobs", Topics: s.Store.Topics, PartitionsPerTopic: s.Store.Partitions}
 }
 
 // Size is the number of partitions.
-func (s Series) Size() int { return s.Topics * s.Parts }
+func (s PartitionSeries) Size() int { return s.Topics * s.PartitionsPerTopic }
 
 // Names are those of the topics.
-func (s Series) Names() []string {
+func (s PartitionSeries) TopicNames() []string {
 	out := make([]string, s.Topics)
 	for i := range out {
 		out[i] = s.topic(i)
@@ -33,18 +33,18 @@
 	return out
 }
 
-func (s Series) topic(i int) string { return s.Prefix + strconv.Itoa(i) }
+func (s PartitionSeries) topic(i int) string { return s.Prefix + strconv.Itoa(i) }
 
 // Partition returns that of a number.
-func (s Series) Partition(number int) store.Partition {
-	return store.Partition{Topic: s.topic(number / s.Parts), Number: number % s.Parts}
+func (s PartitionSeries) Partition(number int) store.Partition {
+	return store.Partition{Topic: s.topic(number / s.PartitionsPerTopic), Number: number % s.PartitionsPerTopic}
 }
 
 // Number returns that of a partition, or false if it is none of the series.
-func (s Series) Number(p store.Partition) (int, bool) {
-	i := slices.Index(s.Names(), p.Topic)
-	if i < 0 || p.Number < 0 || p.Number >= s.Parts {
+func (s PartitionSeries) Number(p store.Partition) (int, bool) {
+	i := slices.Index(s.TopicNames(), p.Topic)
+	if i < 0 || p.Number < 0 || p.Number >= s.PartitionsPerTopic {
 		return 0, false
 	}
-	return i*s.Parts + p.Number, true
+	return i*s.PartitionsPerTopic + p.Number, true
 }
--- a/daemon/core/registry.go
+++ b/daemon/core/registry.go
@@ -25,8 +25,8 @@
 // what it says has changed: a life that comes back at the same address beside the same
 // kind of backend server writes none.
 type Registration struct {
-	Links string `json:"links"`
-	Zone  string `json:"zone"`
+	LinkAddr string `json:"links"`
+	Domain   string `json:"zone"`
 	// Offer is what the backend server beside the agent can run.
 	Offer *Offer `json:"offer,omitempty"`
 	// Orphans is set while ends stand at the agent that only the owners of their shards
@@ -42,8 +42,8 @@
 }
 
 // Same reports whether two registrations say the same.
-func (r *Registration) Same(o *Registration) bool {
-	if r.Links != o.Links || r.Zone != o.Zone || r.Orphans != o.Orphans || (r.Offer == nil) != (o.Offer == nil) {
+func (r *Registration) Equal(o *Registration) bool {
+	if r.LinkAddr != o.LinkAddr || r.Domain != o.Domain || r.Orphans != o.Orphans || (r.Offer == nil) != (o.Offer == nil) {
 		return false
 	}
 	return r.Offer == nil || r.Offer.Service == o.Offer.Service && r.Offer.Capacity == o.Offer.Capacity && slices.Equal(r.Offer.Labels, o.Offer.Labels)
@@ -55,8 +55,8 @@
 	StoreTimeout = 1500 * time.Millisecond
 	// retryPause is the pause before a failed call to the store is repeated, and
 	// maxRetryPause the longest: all processes are back within that after the store is.
-	retryPause    = 80 * time.Millisecond
-	maxRetryPause = 400 * time.Millisecond
+	minRetryDelay = 80 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
 	// registryWait is how long a read of the registry waits for news. A silent
 	// connection is found a little later.
 	registryWait = 2 * time.Second
@@ -64,21 +64,21 @@
 	// first time each of 70 agents registers within 0.3 s, and without it each of 83
 	// readers read each of the records by itself. Agents that come back at their old
 	// addresses are known, so nobody waits for them here.
-	registryPause = 30 * time.Millisecond
+	registryBatchDelay = 30 * time.Millisecond
 )
 
 // UntilDone repeats a call to the store, with pauses that grow, until it succeeds or the
 // context ends. What it says of a failure is for the log.
-func UntilDone(ctx context.Context, failed string, call func() error) {
-	failures := pause.Backoff{Least: retryPause, Most: maxRetryPause}
+func Retry(ctx context.Context, failureMessage string, call func() error) {
+	backoff := pause.Backoff{Least: minRetryDelay, Most: maxRetryDelay}
 	for ctx.Err() == nil {
 		began := bootclock.Now()
 		err := call()
 		if err == nil {
 			return
 		}
-		klog.InfoS(failed, "err", err)
-		_ = failures.Wait(ctx, bootclock.Now()-began)
+		klog.InfoS(failureMessage, "err", err)
+		_ = backoff.Wait(ctx, bootclock.Now()-began)
 	}
 }
 
@@ -88,15 +88,15 @@
 	partition store.Partition
 	wait      time.Duration
 	// rest is the pause after records came, to read the next ones together.
-	rest time.Duration
+	batchDelay time.Duration
 	// apply gets each newest record, also repeatedly, and applied is called after those
 	// that came together, if it is set.
-	apply   func(store.Record)
-	applied func()
+	apply      func(store.Record)
+	afterBatch func()
 	// begin is called before the newest record of each key is applied, and reached once
 	// all records before a position were, also when none came; both if they are set.
-	begin   func()
-	reached func(position int64)
+	onReset    func()
+	onPosition func(position int64)
 	// name is for the log.
 	name string
 }
@@ -110,10 +110,10 @@
 // run follows until the context ends.
 func (f *follower) run(ctx context.Context) {
 	lost := false
-	failures := pause.Backoff{Least: retryPause, Most: maxRetryPause}
+	backoff := pause.Backoff{Least: minRetryDelay, Most: maxRetryDelay}
 	for ctx.Err() == nil {
 		began := bootclock.Now()
-		err := f.readAll(ctx, &lost, &failures)
+		err := f.readAndFollow(ctx, &lost, &backoff)
 		if ctx.Err() != nil {
 			return
 		}
@@ -121,35 +121,35 @@
 			lost = true
 			klog.InfoS("Lost the store", "reader", f.name, "err", err)
 		}
-		_ = failures.Wait(ctx, bootclock.Now()-began)
+		_ = backoff.Wait(ctx, bootclock.Now()-began)
 	}
 }
 
-func (f *follower) readAll(ctx context.Context, lost *bool, failures *pause.Backoff) error {
+func (f *follower) readAndFollow(ctx context.Context, lost *bool, backoff *pause.Backoff) error {
 	records, next, err := f.newest(ctx)
 	if err != nil {
 		return err
 	}
-	failures.Reset()
+	backoff.Reset()
 	if *lost {
 		*lost = false
 		klog.InfoS("The store is back", "reader", f.name)
 	}
-	if f.begin != nil {
-		f.begin()
+	if f.onReset != nil {
+		f.onReset()
 	}
 	for {
 		for _, r := range records {
 			f.apply(r)
 		}
-		if f.applied != nil {
-			f.applied()
+		if f.afterBatch != nil {
+			f.afterBatch()
 		}
-		if f.reached != nil {
-			f.reached(next)
+		if f.onPosition != nil {
+			f.onPosition(next)
 		}
 		if len(records) > 0 {
-			_ = pause.For(ctx, f.rest)
+			_ = pause.For(ctx, f.batchDelay)
 		}
 		records, next, err = f.follow(ctx, next)
 		if err != nil {
@@ -190,7 +190,7 @@
 	if err := json.Unmarshal(r.Value, &reg); err != nil {
 		return reg, errors.Wrapf(err, "registration of %s", r.Key)
 	}
-	if _, err := netip.ParseAddrPort(reg.Links); err != nil {
+	if _, err := netip.ParseAddrPort(reg.LinkAddr); err != nil {
 		return reg, errors.Wrapf(err, "registration of %s", r.Key)
 	}
 	if o := reg.Offer; o != nil && (o.Service == "" || o.Capacity.CPUMillis < 0) {
@@ -200,4 +200,6 @@
 }
 
 // MemberName names one life of an agent in the group.
-func MemberName(name string, tag string) string { return strings.Join([]string{name, tag}, "/") }
+func MemberName(name string, incarnation string) string {
+	return strings.Join([]string{name, incarnation}, "/")
+}
--- a/daemon/core/settings.go
+++ b/daemon/core/settings.go
@@ -14,7 +14,7 @@
 
 // settingsPoll is the pace at which a change of the file without a signal is
 // looked for.
-const settingsPoll = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
 // WatchSettings checks the file anew on SIGHUP and when it changes. The settings
 // describe the host a process stands on, and no key can change while it lives;
@@ -23,7 +23,7 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	tick := time.NewTicker(settingsPoll)
+	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
 	last := modTime(path)
 	for {
--- a/daemon/core/steps.go
+++ b/daemon/core/steps.go
@@ -15,32 +15,32 @@
 
 // Steps drives the machine of one shard: it runs its steps one at a time and
 // carries out what they ask for.
-type Steps struct {
+type ShardDriver struct {
 	*owner.Shard
 	links   *LinkSet
-	metrics *CoreMetrics
+	metrics *Metrics
 	Wake    chan struct{}
 
 	// order keeps the effects of the steps in their order: a stop that overtook
 	// its order would be lost.
-	order sync.Mutex
+	stepMu sync.Mutex
 }
 
 // NewSteps returns the driver of a machine that sends by these links.
-func NewSteps(s *owner.Shard, links *LinkSet, m *CoreMetrics) *Steps {
-	return &Steps{Shard: s, links: links, metrics: m, Wake: make(chan struct{}, 1)}
+func NewShardDriver(s *owner.Shard, links *LinkSet, m *Metrics) *ShardDriver {
+	return &ShardDriver{Shard: s, links: links, metrics: m, Wake: make(chan struct{}, 1)}
 }
 
 // Step runs a step of the machine and carries out its effects.
-func (r *Steps) Step(f func(now time.Duration) owner.Effects) {
-	r.order.Lock()
-	defer r.order.Unlock()
+func (r *ShardDriver) Step(f func(now time.Duration) owner.Effects) {
+	r.stepMu.Lock()
+	defer r.stepMu.Unlock()
 	now := bootclock.Now()
 	fx := f(now)
 	r.apply(now, &fx)
 }
 
-func (r *Steps) apply(now time.Duration, fx *owner.Effects) {
+func (r *ShardDriver) apply(now time.Duration, fx *owner.Effects) {
 	for i := range fx.Orders {
 		o := wire.OrderToWire(now, &fx.Orders[i].Value)
 		r.links.Send(fx.Orders[i].Node, func(f *corepb.ToAgent) { f.Orders = append(f.Orders, o) })
@@ -51,20 +51,20 @@
 	}
 	for _, s := range fx.Settled {
 		settled := &corepb.Settled{Shard: int32(r.ID), Run: wire.RunToWire(s.Value.Run), Void: s.Value.Void}
-		r.settle(s.Node, settled)
+		r.sendSettled(s.Node, settled)
 	}
 	for _, node := range fx.Relinks {
 		r.links.renew(node)
 	}
 	for _, reply := range fx.Replies {
-		r.metrics.Verdict(reply.Response)
+		r.metrics.CountResponse(reply.Response)
 		reply.To(reply.Response)
 	}
 	for i := range fx.Log {
 		if fx.Log[i].LacksCapacity() {
-			r.links.full(now)
+			r.links.recordRefusal(now)
 		}
-		r.log(&fx.Log[i])
+		r.logDecision(&fx.Log[i])
 	}
 	if fx.Write {
 		r.Signal()
@@ -74,7 +74,7 @@
 // settle tells an agent what became of an end. It may wait for the next frame:
 // the agent acknowledges the end a little later, which frees nothing. A void end
 // must stop the acknowledgements at once.
-func (r *Steps) settle(node string, settled *corepb.Settled) {
+func (r *ShardDriver) sendSettled(node string, settled *corepb.Settled) {
 	add := func(f *corepb.ToAgent) { f.Settled = append(f.Settled, settled) }
 	if settled.GetVoid() {
 		r.links.Send(node, add)
@@ -83,7 +83,7 @@
 	r.links.sendQuietly(node, add)
 }
 
-func (r *Steps) log(d *owner.Decision) {
+func (r *ShardDriver) logDecision(d *owner.Decision) {
 	r.metrics.decisions.WithLabelValues(d.Kind).Inc()
 	if d.Refusal != nil {
 		logRefusal(d)
@@ -101,14 +101,14 @@
 }
 
 // PlaceWaiting has tasks that wait here sent to agents that may have room by now.
-func (r *Steps) PlaceWaiting() {
+func (r *ShardDriver) PlaceWaiting() {
 	if r.HasWaitingTasks() {
 		r.Step(r.AgentsUpdated)
 	}
 }
 
 // Signal wakes whoever writes for the shard.
-func (r *Steps) Signal() {
+func (r *ShardDriver) Signal() {
 	select {
 	case r.Wake <- struct{}{}:
 	default:
@@ -117,7 +117,7 @@
 
 // LinkUp has the shard note a link and returns the claims to send on it: one, or none if
 // the link is claimed.
-func (r *Steps) LinkUp(node string, session int64) []*corepb.Claim {
+func (r *ShardDriver) LinkUp(node string, session int64) []*corepb.Claim {
 	var claim worker.Claim
 	var ok bool
 	r.Step(func(now time.Duration) owner.Effects {
@@ -132,7 +132,7 @@
 }
 
 // LinkDown has the shard note that a link is lost.
-func (r *Steps) LinkDown(node string, session int64) {
+func (r *ShardDriver) LinkDown(node string, session int64) {
 	r.Step(func(now time.Duration) owner.Effects {
 		r.LinkLost(now, node, session)
 		return owner.Effects{}
@@ -140,12 +140,12 @@
 }
 
 // TakeClaimed takes in an agent's answer to a claim.
-func (r *Steps) TakeClaimed(node string, p *corepb.Claimed) {
+func (r *ShardDriver) HandleClaimed(node string, p *corepb.Claimed) {
 	r.Step(func(now time.Duration) owner.Effects { return r.Claimed(now, node, wire.ClaimedFromWire(p)) })
 }
 
 // TakeEvent takes in news of a run.
-func (r *Steps) TakeEvent(node string, p *corepb.Event) {
+func (r *ShardDriver) HandleEvent(node string, p *corepb.Event) {
 	e := worker.Event{Shard: int(p.GetShard()), Epoch: p.GetEpoch(), State: wire.RunStateFromWire(p.GetRun())}
 	r.Step(func(now time.Duration) owner.Effects { return r.Event(now, node, e) })
 }
--- a/daemon/core/wanted.go
+++ b/daemon/core/wanted.go
@@ -12,50 +12,50 @@
 // Reconcile dials what is wanted and not linked, and ends links that are not wanted any
 // more once nothing of the user is behind them.
 func (l *LinkSet) Reconcile(now time.Duration) {
-	l.changing.Lock()
-	defer l.changing.Unlock()
-	if !l.Opened() {
+	l.changeMu.Lock()
+	defer l.changeMu.Unlock()
+	if !l.IsOpen() {
 		return
 	}
 	share, required := l.user.Share(), l.user.Required()
 	l.mu.Lock()
-	l.watchLocked(now)
-	l.orderLocked(share)
+	l.updateDownSinceLocked(now)
+	l.updateOrderLocked(share)
 	wanted := l.wantedLocked(now, required)
-	dial, retired := l.retireLocked(now, wanted)
-	works := l.worksLocked(wanted)
+	dial, retired := l.updateRetiredLocked(now, wanted)
+	assignable := l.updateAssignableLocked(wanted)
 	l.mu.Unlock()
-	for node, yes := range works {
-		l.placer.SetRetired(node, !yes)
+	for node, canAssign := range assignable {
+		l.placer.SetRetired(node, !canAssign)
 	}
 	for node, reg := range dial {
 		l.replace(node, reg, wanted[node])
 	}
-	l.tell(len(dial), retired, len(wanted))
+	l.reportChange(len(dial), retired, len(wanted))
 	l.dropRetired(now)
 }
 
 // tell leaves a trace of a change.
-func (l *LinkSet) tell(dialled, retired, wanted int) {
+func (l *LinkSet) reportChange(dialled, retired, wanted int) {
 	if dialled+retired == 0 {
 		return
 	}
 	l.mu.Lock()
-	known, extra, dark := len(l.known), len(l.added), 0
+	known, extra, down := len(l.known), len(l.extraAgents), 0
 	for _, k := range l.links {
 		if k.downSince > 0 {
-			dark++
+			down++
 		}
 	}
 	l.mu.Unlock()
-	l.metrics.links.WithLabelValues("dialled").Add(float64(dialled))
-	l.metrics.links.WithLabelValues("retired").Add(float64(retired))
-	l.metrics.linked.Set(float64(wanted))
-	klog.InfoS("The agents to link have changed", "wanted", wanted, "of", known, "dialled", dialled, "retired", retired, "down", dark, "extra", extra)
+	l.metrics.linkChanges.WithLabelValues("dialled").Add(float64(dialled))
+	l.metrics.linkChanges.WithLabelValues("retired").Add(float64(retired))
+	l.metrics.linksWanted.Set(float64(wanted))
+	klog.InfoS("The agents to link have changed", "wanted", wanted, "of", known, "dialled", dialled, "retired", retired, "down", down, "extra", extra)
 }
 
 // watchLocked notes which links are down.
-func (l *LinkSet) watchLocked(now time.Duration) {
+func (l *LinkSet) updateDownSinceLocked(now time.Duration) {
 	for _, k := range l.links {
 		switch {
 		case k.Up():
@@ -66,27 +66,27 @@
 	}
 }
 
-func (l *LinkSet) orderLocked(share subset.Share) {
+func (l *LinkSet) updateOrderLocked(share subset.Share) {
 	if l.order != nil && share.Total == l.share.Total && slices.Equal(share.Buckets, l.share.Buckets) {
 		return
 	}
 	agents := make([]subset.Agent, 0, len(l.known))
 	for node, reg := range l.known {
-		agents = append(agents, subset.Agent{Name: node, Domain: reg.Zone})
+		agents = append(agents, subset.Agent{Name: node, Domain: reg.Domain})
 	}
 	l.share, l.order = share, subset.Order(agents, share)
 }
 
 // darkLocked reports whether an agent's link has been down for long.
-func (l *LinkSet) darkLocked(now time.Duration, node string) bool {
+func (l *LinkSet) downTooLongLocked(now time.Duration, node string) bool {
 	k := l.links[node]
-	return k != nil && k.downSince > 0 && now-k.downSince >= darkAfter
+	return k != nil && k.downSince > 0 && now-k.downSince >= downTimeout
 }
 
 // servesLocked reports whether an agent can be given work: it is not dark, and its failure
 // domain not drained.
-func (l *LinkSet) servesLocked(now time.Duration, node string) bool {
-	return !l.drained.Has(l.known[node].Zone) && !l.darkLocked(now, node)
+func (l *LinkSet) canTakeWorkLocked(now time.Duration, node string) bool {
+	return !l.drained.Has(l.known[node].Domain) && !l.downTooLongLocked(now, node)
 }
 
 // wantedLocked names the agents to link, and whether new work goes to them: the first ones
@@ -97,11 +97,11 @@
 func (l *LinkSet) wantedLocked(now time.Duration, required []string) map[string]bool {
 	size := l.sizeLocked()
 	wanted := make(map[string]bool, 2*size)
-	rest := l.takeLocked(now, wanted, l.order, size)
-	extra := l.stretch.Extra(now, func() float64 { return l.placer.FreeShare(l.added) })
-	after := l.takeLocked(now, wanted, rest, extra)
-	l.added = rest[:len(rest)-len(after)]
-	l.needs.fill(now, l.order, l.openLocked(), wanted)
+	remaining := l.addWantedLocked(now, wanted, l.order, size)
+	extra := l.expander.Extra(now, func() float64 { return l.placer.FreeShare(l.extraAgents) })
+	unused := l.addWantedLocked(now, wanted, remaining, extra)
+	l.extraAgents = remaining[:len(remaining)-len(unused)]
+	l.needs.addAgents(now, l.order, l.undrainedLocked(), wanted)
 	for _, node := range required {
 		if _, ok := l.known[node]; ok && !wanted[node] {
 			wanted[node] = false
@@ -112,14 +112,14 @@
 
 // takeLocked adds agents in order until so many are there that can serve, or twice as
 // many in all. It returns those that are left.
-func (l *LinkSet) takeLocked(now time.Duration, wanted map[string]bool, order []string, count int) []string {
+func (l *LinkSet) addWantedLocked(now time.Duration, wanted map[string]bool, order []string, count int) []string {
 	serving := 0
 	for i, node := range order {
 		if serving == count || i == 2*count {
 			return order[i:]
 		}
 		wanted[node] = true
-		if l.servesLocked(now, node) {
+		if l.canTakeWorkLocked(now, node) {
 			serving++
 		}
 	}
@@ -127,18 +127,18 @@
 }
 
 // retireLocked returns what has to be dialled, and how many links have ceased to be wanted.
-func (l *LinkSet) retireLocked(now time.Duration, wanted map[string]bool) (dial map[string]Registration, retired int) {
+func (l *LinkSet) updateRetiredLocked(now time.Duration, wanted map[string]bool) (dial map[string]Registration, retired int) {
 	dial = make(map[string]Registration)
 	for node := range wanted {
 		reg := l.known[node]
-		if k := l.links[node]; k == nil || k.addr != reg.Links {
+		if k := l.links[node]; k == nil || k.addr != reg.LinkAddr {
 			dial[node] = reg
 		} else {
 			k.retiredAt = 0
 		}
 	}
 	for node, k := range l.links {
-		if _, is := wanted[node]; !is && k.retiredAt == 0 {
+		if _, isWanted := wanted[node]; !isWanted && k.retiredAt == 0 {
 			k.retiredAt = now
 			retired++
 		}
@@ -147,17 +147,17 @@
 }
 
 // worksLocked returns the agents for which it has changed whether new work goes there.
-func (l *LinkSet) worksLocked(wanted map[string]bool) map[string]bool {
+func (l *LinkSet) updateAssignableLocked(wanted map[string]bool) map[string]bool {
 	changed := make(map[string]bool)
 	for node, k := range l.links {
-		if k.works != wanted[node] {
-			k.works = wanted[node]
-			changed[node] = k.works
+		if k.assignable != wanted[node] {
+			k.assignable = wanted[node]
+			changed[node] = k.assignable
 		}
 	}
-	for node, works := range wanted {
+	for node, assignable := range wanted {
 		if l.links[node] == nil {
-			changed[node] = works
+			changed[node] = assignable
 		}
 	}
 	return changed
@@ -171,12 +171,12 @@
 	for node, k := range l.links {
 		if _, known := l.known[node]; !known {
 			gone = append(gone, node)
-		} else if k.retiredAt > 0 && now-k.retiredAt >= retireAfter {
+		} else if k.retiredAt > 0 && now-k.retiredAt >= retireDelay {
 			idle = append(idle, node)
 		}
 	}
 	l.mu.Unlock()
-	idle = slices.DeleteFunc(idle, l.user.Occupied)
+	idle = slices.DeleteFunc(idle, l.user.MayHaveRunsAt)
 	for _, node := range slices.Concat(gone, idle) {
 		l.Drop(node)
 		// A link that is made anew says for itself whether it gets work.
--- a/daemon/coretest/coretest.go
+++ b/daemon/coretest/coretest.go
@@ -11,35 +11,35 @@
 )
 
 // NoStore rejects everything.
-type NoStore struct{}
+type RejectingStore struct{}
 
 // Append implements store.Store.
-func (NoStore) Append(context.Context, store.Partition, *store.Producer, []store.Record) (int64, error) {
+func (RejectingStore) Append(context.Context, store.Partition, *store.Producer, []store.Record) (int64, error) {
 	return 0, store.ErrRejected
 }
 
 // Newest implements store.Store.
-func (NoStore) Newest(context.Context, store.Partition) ([]store.Record, int64, error) {
+func (RejectingStore) Newest(context.Context, store.Partition) ([]store.Record, int64, error) {
 	return nil, 0, store.ErrRejected
 }
 
 // Follow implements store.Store.
-func (NoStore) Follow(context.Context, store.Partition, int64, time.Duration) ([]store.Record, int64, error) {
+func (RejectingStore) Follow(context.Context, store.Partition, int64, time.Duration) ([]store.Record, int64, error) {
 	return nil, 0, store.ErrRejected
 }
 
 // Join implements store.Store.
-func (NoStore) Join(context.Context, string, string, []string, time.Duration, int64) (store.Membership, error) {
+func (RejectingStore) Join(context.Context, string, string, []string, time.Duration, int64) (store.Membership, error) {
 	return store.Membership{}, store.ErrRejected
 }
 
 // Owners implements store.Store.
-func (NoStore) Owners(context.Context, string) (map[store.Partition]string, error) {
+func (RejectingStore) Owners(context.Context, string) (map[store.Partition]string, error) {
 	return nil, store.ErrRejected
 }
 
 // Leave implements store.Store.
-func (NoStore) Leave(context.Context, string, string) error { return store.ErrRejected }
+func (RejectingStore) Leave(context.Context, string, string) error { return store.ErrRejected }
 
 // Shards is the number of shards that Settings make.
 const Shards = 4
@@ -53,14 +53,14 @@
 }
 
 // Await waits for something that other goroutines bring about.
-func Await(t *testing.T, ok func() bool) {
+func Await(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("not in %v", patience)
+	for deadline := time.Now().Add(awaitTimeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("not in %v", awaitTimeout)
 		}
 	}
 }
 
 // patience bounds a wait; nothing is asserted of how long it takes.
-const patience = time.Minute
+const awaitTimeout = time.Minute
--- a/daemon/dev/agent.go
+++ b/daemon/dev/agent.go
@@ -53,13 +53,13 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	platform.NewReports(agent).ServeHTTP(w, r)
+	platform.NewReportHandler(agent).ServeHTTP(w, r)
 }
 
 // Start runs the agent until Kill.
 func (a *Agent) Start() {
 	running := agent.New(a.settings, platform.NewStore(a.settings.Store.Address), a.drains, func(fence int64) agent.BackendClient {
-		return platform.NewExecutor(a.settings.Server.Address, fence)
+		return platform.NewBackendClient(a.settings.Server.Address, fence)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/daemon/dev/dev.go
+++ b/daemon/dev/dev.go
@@ -60,7 +60,7 @@
 	opts      Options
 	store     *standin.Store
 	ledger    *standin.Ledger
-	executors []*standin.Executor
+	executors []*standin.BackendServer
 	agents    []*Agent
 	entries   []*Entry
 	done      conc.WaitGroup
@@ -110,8 +110,8 @@
 
 // startWorker starts a backend server and its agent in a failure domain.
 func (s *System) startWorker(domain string) error {
-	server := standin.Server{Instance: "server-" + domain, Service: exampleService(), Labels: []string{}, CPUMillis: coresPerServer * 1000, MemoryMB: memoryMBPerServer}
-	executor, err := standin.NewExecutor(server, s.ledger)
+	server := standin.BackendServerConfig{Instance: "server-" + domain, Service: exampleService(), Labels: []string{}, CPUMillis: coresPerServer * 1000, MemoryMB: memoryMBPerServer}
+	executor, err := standin.NewBackendServer(server, s.ledger)
 	if err != nil {
 		return err
 	}
@@ -179,7 +179,7 @@
 			return false
 		}
 	}
-	return s.store.Settled(core.OwnersGroup, len(domains))
+	return s.store.Balanced(core.OwnersGroup, len(domains))
 }
 
 // Addr returns the HTTP address of the first entry.
@@ -195,7 +195,7 @@
 func (s *System) Agents() []*Agent { return s.agents }
 
 // Executors returns the stand-in backend servers.
-func (s *System) Executors() []*standin.Executor { return s.executors }
+func (s *System) Executors() []*standin.BackendServer { return s.executors }
 
 // Backends returns the addresses of the stand-in backend servers.
 func (s *System) Backends() []string {
--- a/daemon/dev/drain_test.go
+++ b/daemon/dev/drain_test.go
@@ -83,7 +83,7 @@
 // are lost, and against a later retry that fails.
 func TestDrainWithoutTheStore(t *testing.T) {
 	d := newTestSystem(t)
-	d.Store().Fail("entry", standin.Lost)
+	d.Store().SetFault("entry", standin.DropResponses)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -93,7 +93,7 @@
 		}
 	}()
 	<-done
-	d.Store().Fail("entry", standin.None)
+	d.Store().SetFault("entry", standin.NoFault)
 	_, f := d.client.SetDrain(d.ctx(), "iksan", true)
 	d.is.True(f == nil)
 	d.awaitDrained("iksan")
--- a/daemon/dev/system_test.go
+++ b/daemon/dev/system_test.go
@@ -127,7 +127,7 @@
 // once each, and that the ledger has recorded no faults.
 func (d *testSystem) checkStartedOnce(id string, tasks int) {
 	d.t.Helper()
-	started := d.Ledger().Tasks("bench-desk/" + id + ".")
+	started := d.Ledger().StartsByTask("bench-desk/" + id + ".")
 	d.is.Equal(len(started), tasks)
 	for task, n := range started {
 		if n != 1 {
@@ -150,7 +150,7 @@
 
 func (d *testSystem) awaitStarts(id string, tasks int) {
 	d.t.Helper()
-	d.await(id+" runs", func() bool { return len(d.Ledger().Tasks("bench-desk/"+id+".")) == tasks })
+	d.await(id+" runs", func() bool { return len(d.Ledger().StartsByTask("bench-desk/"+id+".")) == tasks })
 }
 
 func (d *testSystem) startSecondEntry() *Entry {
@@ -238,7 +238,7 @@
 	} else {
 		d.is.Equal(r.failure.Problem.Reason, state.ReasonCutOff)
 	}
-	d.checkStartedOnce(id, len(d.Ledger().Tasks("bench-desk/"+id+".")))
+	d.checkStartedOnce(id, len(d.Ledger().StartsByTask("bench-desk/"+id+".")))
 }
 
 // One agent and the entry at which the caller waits are killed while a job runs. The
@@ -283,7 +283,7 @@
 func TestCancel(t *testing.T) {
 	d := newTestSystem(t)
 	waiting := d.submitAsync(d.client, d.job("stop", 60, 3000, ""))
-	d.await("it runs", func() bool { return len(d.Ledger().Tasks("bench-desk/stop.")) > 0 })
+	d.await("it runs", func() bool { return len(d.Ledger().StartsByTask("bench-desk/stop.")) > 0 })
 	key := state.JobKey{Service: "bench-desk", ID: "stop"}
 	a, f := d.client.Cancel(d.ctx(), key)
 	d.is.True(f == nil)
@@ -292,7 +292,7 @@
 	d.is.Equal(r.failure.Problem.Reason, state.ReasonCancelled)
 	d.is.Equal(r.failure.Outcome, state.Failed)
 	d.checkComplete(<-d.submitAsync(d.client, d.job("after", 24, 1, "")), 24)
-	started := len(d.Ledger().Tasks("bench-desk/stop."))
+	started := len(d.Ledger().StartsByTask("bench-desk/stop."))
 	d.is.True(started < 60) // queued tasks never ran
 }
 
@@ -306,7 +306,7 @@
 	d.checkStartedOnce("once", 1)
 	r = <-d.submitAsync(d.client, d.request("thrice", 10, true, `,"fail":true`))
 	d.is.Equal(r.failure.Problem.Reason, state.ReasonTaskFailed)
-	d.is.Equal(d.Ledger().Started("bench-desk/thrice"), 3)
+	d.is.Equal(d.Ledger().Starts("bench-desk/thrice"), 3)
 }
 
 // A backend server dies with its running tasks. A job that isn't repeatable must fail,
@@ -322,7 +322,7 @@
 	r := <-waiting
 	d.is.Equal(r.failure.Problem.Reason, state.ReasonCutOff)
 	d.is.Equal(r.failure.Outcome, state.Failed)
-	d.checkStartedOnce("never", len(d.Ledger().Tasks("bench-desk/never.")))
+	d.checkStartedOnce("never", len(d.Ledger().StartsByTask("bench-desk/never.")))
 	r = <-d.submitAsync(d.client, d.request("elsewhere", 50, true, ""))
 	d.is.True(r.failure == nil)
 }
@@ -334,15 +334,15 @@
 	d := newTestSystem(t)
 	running := d.submitAsync(d.client, d.job("runs", 4, 800, ""))
 	d.awaitStarts("runs", 4)
-	d.Store().Fail("", standin.Busy)
+	d.Store().SetFault("", standin.Unavailable)
 	var r result
 	d.await("new jobs are refused", func() bool {
 		r = <-d.submitAsync(d.client, d.request("refused", 1, true, ""))
 		return r.failure != nil && r.failure.Problem != nil && r.failure.Problem.Reason == state.ReasonStoreUnavailable
 	})
 	d.is.Equal(r.failure.Outcome, state.NotRun)
-	d.is.Equal(d.Ledger().Started("bench-desk/refused"), 0)
-	d.Store().Fail("", standin.None)
+	d.is.Equal(d.Ledger().Starts("bench-desk/refused"), 0)
+	d.Store().SetFault("", standin.NoFault)
 	d.checkComplete(<-running, 4)
 	a, f := d.client.SubmitSettled(d.ctx(), d.request("refused", 1, true, ""), 100)
 	d.is.True(f == nil)
@@ -436,10 +436,10 @@
 // exactly once, and a retry against the same base must succeed without a new version.
 func TestLostAnswersToAnApply(t *testing.T) {
 	d := newTestSystem(t)
-	d.Store().Fail("entry", standin.Lost)
+	d.Store().SetFault("entry", standin.DropResponses)
 	go func() {
 		time.Sleep(300 * time.Millisecond)
-		d.Store().Fail("entry", standin.None)
+		d.Store().SetFault("entry", standin.NoFault)
 	}()
 	_, f := d.client.ApplySettled(d.ctx(), "haneul", 1, declarationWithPriority(7))
 	if f != nil && f.Outcome == state.NotRun && f.Problem.Reason != state.ReasonLostRace {
--- a/daemon/entry/asking.go
+++ b/daemon/entry/asking.go
@@ -84,7 +84,7 @@
 	}
 	took := time.Since(began)
 	e.metrics.Submit.Observe(took.Seconds())
-	e.metrics.Verdict(v)
+	e.metrics.CountResponse(v)
 	klog.InfoS("Submit", "id", id, "queue", p.Queue, "version", p.Version, "shard", shard, "best_effort", spec.BestEffort,
 		"patience", patienceLeft(ctx, began).Milliseconds(), "outcome", v.Outcome, "reason", v.Reason, "retry_after", v.RetryAfter.Milliseconds(), "took", took.Milliseconds())
 	return v
--- a/daemon/entry/capacities_test.go
+++ b/daemon/entry/capacities_test.go
@@ -20,7 +20,7 @@
 // linked one says now goes before what it has registered.
 func TestCapacitiesAreThoseOfAllKnownAgents(t *testing.T) {
 	is := is.New(t)
-	e := New(coretest.Settings(), coretest.NoStore{}, store.Partition{Topic: "config"}, nil, core.DrainSource{})
+	e := New(coretest.Settings(), coretest.RejectingStore{}, store.Partition{Topic: "config"}, nil, core.DrainSource{})
 	offer := `{"links":"10.0.0.%d:7","offer":{"service":"desk","capacity":{"CPUMillis":%d}}}`
 	e.links.Apply(store.Record{Key: "linked", Value: fmt.Appendf(nil, offer, 1, 8000)})
 	e.links.Apply(store.Record{Key: "other", Value: fmt.Appendf(nil, offer, 2, 32000)})
--- a/daemon/entry/drains.go
+++ b/daemon/entry/drains.go
@@ -28,9 +28,9 @@
 // linked agents.
 func (e *Entry) drainsChanged(s drains.State) {
 	e.fleet.SetDrained(s)
-	e.links.Drain(s)
+	e.links.SetDrained(s)
 	e.links.SendAll(func(*corepb.ToAgent) {})
-	known, read := e.links.Domains()
+	known, read := e.links.AgentsPerDomain()
 	for _, domain := range s.Domains {
 		if read && known[domain] == 0 {
 			klog.InfoS("A drained failure domain has no agents", "domain", domain)
@@ -43,9 +43,9 @@
 
 // Domains counts the agents of each known failure domain.
 func (e *Entry) Domains() map[string]int {
-	known, _ := e.links.Domains()
+	known, _ := e.links.AgentsPerDomain()
 	return known
 }
 
 // LinkComplete implements peer.LinkHandler.
-func (e *Entry) LinkComplete(f *corepb.ToAgent) { f.Drains = e.drains.Frame() }
+func (e *Entry) LinkComplete(f *corepb.ToAgent) { f.Drains = e.drains.ToWire() }
--- a/daemon/entry/effort.go
+++ b/daemon/entry/effort.go
@@ -24,14 +24,14 @@
 func privateShard(shards int) int { return shards + 1 + rand.IntN(1<<30) }
 
 // newEffort returns the shard for best-effort jobs of an entry's life.
-func (e *Entry) newEffort() *core.Steps {
+func (e *Entry) newEffort() *core.ShardDriver {
 	s := owner.NewPrivate(bootclock.Now(), privateShard(e.settings.Shards()), core.OwnerBounds(e.settings), e.fleet)
-	return core.NewSteps(s, e.links, e.metrics)
+	return core.NewShardDriver(s, e.links, e.metrics)
 }
 
 // tickLoop lets time pass in the entry's shard.
 func (e *Entry) tickLoop(ctx context.Context) {
-	t := time.NewTicker(core.TickEvery)
+	t := time.NewTicker(core.TickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -74,11 +74,11 @@
 // backend server with its label stands idle.
 func (e *Entry) cover(ctx context.Context, spec *job.Spec, p *job.Policy) {
 	now := bootclock.Now()
-	if !e.links.Need(now, spec, p) {
+	if !e.links.RecordNeed(now, spec, p) {
 		return
 	}
 	e.links.Reconcile(now)
-	for end := now + core.CoverWait; !(e.links.Settled() && e.offered(spec, p)) && bootclock.Now() < end && ctx.Err() == nil; {
+	for end := now + core.LinkWaitTimeout; !(e.links.AllWantedUp() && e.offered(spec, p)) && bootclock.Now() < end && ctx.Err() == nil; {
 		_ = pause.For(ctx, coverPoll)
 	}
 }
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -47,7 +47,7 @@
 type Entry struct {
 	settings *settings.Settings
 	store    store.Store
-	metrics  *core.CoreMetrics
+	metrics  *core.Metrics
 	links    *core.LinkSet
 	// decode reads a version of the configuration from a record.
 	decode func(store.Record) (*routing.Table, error)
@@ -55,7 +55,7 @@
 	table  atomic.Pointer[routing.Table]
 	fleet  *owner.Fleet
 	// effort has the best-effort jobs of this life.
-	effort  *core.Steps
+	effort  *core.ShardDriver
 	owners  *ownerBook
 	numbers *numbers
 	drains  *core.DrainWatch
@@ -64,7 +64,7 @@
 // New returns an entry that does nothing yet.
 func New(s *settings.Settings, st store.Store, config store.Partition, decode func(store.Record) (*routing.Table, error), drains core.DrainSource) *Entry {
 	e := &Entry{
-		settings: s, store: st, metrics: core.NewCoreMetrics(),
+		settings: s, store: st, metrics: core.NewMetrics(),
 		config: config, decode: decode, owners: newOwnerBook(s, st), numbers: newNumbers(s, st),
 		fleet: owner.NewFleet(s.Bounds.RemoteFactor, owner.DefaultParams()),
 	}
@@ -73,7 +73,7 @@
 	// The name is that of this life: agents tell its runs from a later one's.
 	dialer := peer.NewDialer(core.MemberName(s.Name, xid.New().String()), e)
 	e.links = core.NewLinkSet(s.Links, e, e.fleet, e.metrics, func(node string, reg core.Registration) core.AgentLink {
-		return dialer.Dial(context.Background(), node, reg.Links)
+		return dialer.Dial(context.Background(), node, reg.LinkAddr)
 	})
 	e.effort = e.newEffort()
 	e.metrics.WatchFleet(e.fleet)
@@ -90,7 +90,7 @@
 	}
 	dealt := make(chan struct{})
 	wg.Go(func() { e.numbers.run(ctx, sync.OnceFunc(func() { close(dealt) })) })
-	wg.Go(func() { e.links.Follow(ctx, e.store) })
+	wg.Go(func() { e.links.FollowRegistry(ctx, e.store) })
 	wg.Go(func() {
 		select {
 		case <-dealt:
@@ -110,7 +110,7 @@
 func (e *Entry) Required() []string { return e.owners.inUse(bootclock.Now()) }
 
 // Occupied implements linkUser.
-func (e *Entry) Occupied(node string) bool { return e.effort.MayHaveRunsAt(node) }
+func (e *Entry) MayHaveRunsAt(node string) bool { return e.effort.MayHaveRunsAt(node) }
 
 // applyConfig takes up a version unless a newer one is in force: a reader that
 // starts again may see older ones.
@@ -149,7 +149,7 @@
 // Capacities are what the known backend servers of a service have: those that the entry
 // links by their last news, the others by the registry.
 func (e *Entry) Capacities(service string) []job.Demand {
-	offers := e.links.Offers(service)
+	offers := e.links.RegisteredCapacities(service)
 	for _, a := range e.fleet.Agents() {
 		delete(offers, a.Node)
 		if a.Load.Service == service {
@@ -177,15 +177,15 @@
 
 // LinkFrame implements peer.LinkHandler.
 func (e *Entry) LinkFrame(node string, _ int64, f *corepb.FromAgent) {
-	e.drains.Told(f.GetDrains())
+	e.drains.Merge(f.GetDrains())
 	if l := f.GetLoad(); l != nil {
 		e.fleet.Update(bootclock.Now(), node, wire.LoadFromWire(l))
 	}
 	for _, p := range f.GetClaimed() {
-		e.effort.TakeClaimed(node, p)
+		e.effort.HandleClaimed(node, p)
 	}
 	for _, p := range f.GetEvents() {
-		e.effort.TakeEvent(node, p)
+		e.effort.HandleEvent(node, p)
 	}
 	e.owners.note(node, f)
 	e.effort.PlaceWaiting()
--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -101,7 +101,7 @@
 func (a *fakeAgent) keepBooks() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.books = worker.New(worker.Bounds{Lease: time.Second, OwnerSilence: core.OwnerSilence, Relink: core.Relink, Adoption: core.Adoption, Shards: coretest.Shards})
+	a.books = worker.New(worker.Bounds{Lease: time.Second, OwnerTimeout: core.OwnerSilenceTimeout, ReconnectTimeout: core.RelinkTimeout, AdoptionTimeout: core.AdoptionTimeout, Shards: coretest.Shards})
 }
 
 // breakLink ends the link on which the next frame comes.
@@ -158,7 +158,7 @@
 // newTestEntry returns an entry with a link to each agent, all up.
 func newTestEntry(t *testing.T, agents ...*fakeAgent) *Entry {
 	t.Helper()
-	e := New(coretest.Settings(), coretest.NoStore{}, store.Partition{Topic: "config"}, nil, core.DrainSource{})
+	e := New(coretest.Settings(), coretest.RejectingStore{}, store.Partition{Topic: "config"}, nil, core.DrainSource{})
 	t.Cleanup(e.links.Close)
 	e.links.Open()
 	for _, a := range agents {
@@ -228,7 +228,7 @@
 // was dropped and read anew: it must not come into force again.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	is := is.New(t)
-	e := New(coretest.Settings(), coretest.NoStore{}, store.Partition{}, decodeVersion, core.DrainSource{})
+	e := New(coretest.Settings(), coretest.RejectingStore{}, store.Partition{}, decodeVersion, core.DrainSource{})
 	for _, v := range []string{"3", "5", "4"} {
 		e.applyConfig(store.Record{Value: []byte(v)})
 	}
--- a/daemon/entry/numbers.go
+++ b/daemon/entry/numbers.go
@@ -91,8 +91,8 @@
 func (n *numbers) join(ctx context.Context, generation int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, core.StoreTimeout)
 	defer cancel()
-	all := core.Series{Prefix: "entries", Topics: numberTopics, Parts: n.settings.Store.Partitions}
-	m, err := n.store.Join(ctx, EntriesGroup, n.settings.Name, all.Names(), max(numbersTTL, n.settings.Store.MinTTL), generation)
+	all := core.PartitionSeries{Prefix: "entries", Topics: numberTopics, PartitionsPerTopic: n.settings.Store.Partitions}
+	m, err := n.store.Join(ctx, EntriesGroup, n.settings.Name, all.TopicNames(), max(numbersTTL, n.settings.Store.MinTTL), generation)
 	if err != nil {
 		return generation, err
 	}
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -97,11 +97,11 @@
 func runEntry(ctx context.Context, cancel context.CancelFunc, s *settings.Settings, stop <-chan os.Signal) error {
 	e := entry.New(s, platform.NewStore(s.Store.Address), platform.ConfigPartition, platform.DecodeConfig, operatorDrains)
 	var stopping, closing atomic.Bool
-	front, err := serveHTTP(s.Listen.Clients, platform.NewFront(e, closing.Load))
+	front, err := serveHTTP(s.Listen.Clients, platform.NewClientHandler(e, closing.Load))
 	if err != nil {
 		return err
 	}
-	ready, err := serveHTTP(s.Listen.Ready, platform.NewReady(func() bool { return !stopping.Load() && e.Ready() }))
+	ready, err := serveHTTP(s.Listen.Ready, platform.NewReadinessHandler(func() bool { return !stopping.Load() && e.Ready() }))
 	if err != nil {
 		return err
 	}
@@ -147,9 +147,9 @@
 
 func runAgent(ctx context.Context, cancel context.CancelFunc, s *settings.Settings, stop <-chan os.Signal) error {
 	a := agent.New(s, platform.NewStore(s.Store.Address), operatorDrains, func(fence int64) agent.BackendClient {
-		return platform.NewExecutor(s.Server.Address, fence)
+		return platform.NewBackendClient(s.Server.Address, fence)
 	})
-	if _, err := serveHTTP(s.Listen.Reports, platform.NewReports(a)); err != nil {
+	if _, err := serveHTTP(s.Listen.Reports, platform.NewReportHandler(a)); err != nil {
 		return err
 	}
 	serveMetrics(&s.Listen, a.Metrics())
--- a/protocol/core/messages.go
+++ b/protocol/core/messages.go
@@ -32,7 +32,7 @@
 		Payload: o.Payload, Service: o.Service, Label: o.Label,
 		CpuMillis: o.Demand.CPUMillis, MemoryMb: o.Demand.MemoryMB, Gpus: o.Demand.GPUs,
 		EstimateUs: o.Estimate.Microseconds(), DueUs: (o.Due - now).Microseconds(),
-		Once: o.Once, Repeat: o.Repeat, Checkpoint: o.Checkpoint, MaxPerWorker: int32(o.MaxPerWorker), Caution: int32(o.Caution),
+		Once: o.Once, Repeat: o.Repeat, Checkpoint: o.Checkpoint, MaxPerWorker: int32(o.MaxPerWorker), Caution: int32(o.Isolation),
 	}
 }
 
@@ -45,7 +45,7 @@
 		Estimate: time.Duration(p.GetEstimateUs()) * time.Microsecond,
 		Due:      now + time.Duration(p.GetDueUs())*time.Microsecond,
 		Once:     p.GetOnce(), Repeat: p.GetRepeat(), Checkpoint: p.GetCheckpoint(), MaxPerWorker: int(p.GetMaxPerWorker()),
-		Caution: worker.Caution(p.GetCaution()),
+		Isolation: worker.Isolation(p.GetCaution()),
 	}
 }
 
--- a/soak/clients_test.go
+++ b/soak/clients_test.go
@@ -158,7 +158,7 @@
 	c.w.mu.Lock()
 	failing := c.w.failing
 	c.w.mu.Unlock()
-	if state == "failed" && !failing && c.w.ledger.MostLost(r.id) < leastLost {
+	if state == "failed" && !failing && c.w.ledger.MaxLost(r.id) < leastLost {
 		c.w.fault("%s: failed, and no backend server fails its runs, or was lost with them", r.id)
 	}
 	if state == "completed" && r.crashes {
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -77,28 +77,28 @@
 	}},
 	{"store for one", func(w *world, random *rand.Rand, last func(int, int)) {
 		p := pick(random, w.processes())
-		w.store.Fail(p.name, pick(random, []standin.Fault{standin.Busy, standin.Silent, standin.Lost}))
+		w.store.SetFault(p.name, pick(random, []standin.Fault{standin.Unavailable, standin.DropCalls, standin.DropResponses}))
 		last(200, 5000)
-		w.store.Fail(p.name, standin.None)
+		w.store.SetFault(p.name, standin.NoFault)
 	}},
 	{"store for all", func(w *world, random *rand.Rand, last func(int, int)) {
-		fault := pick(random, []standin.Fault{standin.Busy, standin.Silent, standin.Lost})
+		fault := pick(random, []standin.Fault{standin.Unavailable, standin.DropCalls, standin.DropResponses})
 		for _, p := range w.processes() {
-			w.store.Fail(p.name, fault)
+			w.store.SetFault(p.name, fault)
 		}
 		last(200, 3000)
 		for _, p := range w.processes() {
-			w.store.Fail(p.name, standin.None)
+			w.store.SetFault(p.name, standin.NoFault)
 		}
 	}},
 	{"history dropped", func(w *world, random *rand.Rand, last func(int, int)) {
 		for _, topic := range []string{"keyed.jobs0", "keyed.agents", "keyed.notes0", "keyed.op"} {
-			w.store.DropHistory(topic)
+			w.store.TrimHistory(topic)
 		}
 		last(50, 200)
 	}},
 	{"dealt anew", func(w *world, random *rand.Rand, last func(int, int)) {
-		w.store.DealAnew()
+		w.store.Rebalance()
 		last(50, 500)
 	}},
 	{"configuration", func(w *world, random *rand.Rand, last func(int, int)) {
@@ -114,10 +114,10 @@
 	{"server shrinks", func(w *world, random *rand.Rand, last func(int, int)) {
 		a := pick(random, w.agents)
 		for range 1 + random.IntN(3) {
-			a.serverDo(func(e *standin.Executor) { e.Resize(int64(random.IntN(5)) * serverCPU / 4) })
+			a.serverDo(func(e *standin.BackendServer) { e.Resize(int64(random.IntN(5)) * serverCPU / 4) })
 			last(100, 3000)
 		}
-		a.serverDo(func(e *standin.Executor) { e.Resize(serverCPU) })
+		a.serverDo(func(e *standin.BackendServer) { e.Resize(serverCPU) })
 	}},
 	{"drain", func(w *world, random *rand.Rand, last func(int, int)) {
 		domain := pick(random, domains)
@@ -145,25 +145,25 @@
 	}},
 	{"server loses answers", func(w *world, random *rand.Rand, last func(int, int)) {
 		a := pick(random, w.agents)
-		a.serverDo(func(e *standin.Executor) { e.LoseStarts(true) })
+		a.serverDo(func(e *standin.BackendServer) { e.DropStartResponses(true) })
 		last(200, 2000)
-		a.serverDo(func(e *standin.Executor) { e.LoseStarts(false) })
+		a.serverDo(func(e *standin.BackendServer) { e.DropStartResponses(false) })
 	}},
 	{"server starts late", func(w *world, random *rand.Rand, last func(int, int)) {
 		a := pick(random, w.agents)
 		late := time.Duration(500+random.IntN(4000)) * time.Millisecond
-		a.serverDo(func(e *standin.Executor) { e.DelayStarts(late) })
+		a.serverDo(func(e *standin.BackendServer) { e.DelayStarts(late) })
 		last(200, 2000)
-		a.serverDo(func(e *standin.Executor) { e.DelayStarts(0) })
+		a.serverDo(func(e *standin.BackendServer) { e.DelayStarts(0) })
 	}},
 	{"server fails all", func(w *world, random *rand.Rand, last func(int, int)) {
 		w.mu.Lock()
 		w.failing = true
 		w.mu.Unlock()
 		a := pick(random, w.agents)
-		a.serverDo(func(e *standin.Executor) { e.FailAll(true) })
+		a.serverDo(func(e *standin.BackendServer) { e.FailAll(true) })
 		last(200, 2000)
-		a.serverDo(func(e *standin.Executor) { e.FailAll(false) })
+		a.serverDo(func(e *standin.BackendServer) { e.FailAll(false) })
 	}},
 }
 
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -143,7 +143,7 @@
 func (c *clients) check() {
 	accepted, refused, open := 0, 0, 0
 	for _, r := range c.jobs {
-		started := c.w.ledger.Tasks(r.id + ".")
+		started := c.w.ledger.StartsByTask(r.id + ".")
 		switch {
 		case r.accepted:
 			accepted++
@@ -183,7 +183,7 @@
 	for _, f := range w.ledger.Faults() {
 		// A best-effort job may run again from the start after it got no answer.
 		of := f[strings.LastIndex(f, " ")+1:]
-		if strings.HasPrefix(of, effortPrefix) && !strings.HasPrefix(f, "two runs at a time") && !strings.HasPrefix(f, standin.BeyondRoom) && !strings.HasPrefix(f, standin.InDrainedDomain) {
+		if strings.HasPrefix(of, effortPrefix) && !strings.HasPrefix(f, "two runs at a time") && !strings.HasPrefix(f, standin.OverCapacity) && !strings.HasPrefix(f, standin.InDrainedDomain) {
 			continue
 		}
 		w.fault("%s", f)
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -58,7 +58,7 @@
 	mu sync.Mutex
 	// All fields below are guarded by mu.
 
-	executor *standin.Executor
+	executor *standin.BackendServer
 	life     int
 }
 
@@ -201,12 +201,12 @@
 	w.store.Put("keyed.op", "evacuate/"+domain, value)
 	for _, a := range w.agents {
 		if a.domain == domain {
-			a.serverDo(func(e *standin.Executor) { drainServer(e, is) })
+			a.serverDo(func(e *standin.BackendServer) { drainServer(e, is) })
 		}
 	}
 }
 
-func drainServer(e *standin.Executor, yes bool) {
+func drainServer(e *standin.BackendServer, yes bool) {
 	if yes {
 		e.Drain(drainHeard)
 		return
@@ -222,8 +222,8 @@
 		a.executor.Close()
 	}
 	a.life++
-	e, err := standin.NewExecutor(standin.Server{
-		Instance: fmt.Sprintf("i-%s-%d", a.name, a.life), Service: "desk", Labels: []string{"a"}, CPUMillis: serverCPU, MemoryMB: 4096, RoomGrace: roomGrace,
+	e, err := standin.NewBackendServer(standin.BackendServerConfig{
+		Instance: fmt.Sprintf("i-%s-%d", a.name, a.life), Service: "desk", Labels: []string{"a"}, CPUMillis: serverCPU, MemoryMB: 4096, CapacityGrace: roomGrace,
 	}, a.w.ledger)
 	if err != nil {
 		a.w.t.Error(err)
@@ -235,7 +235,7 @@
 }
 
 // serverDo does something to the present backend server.
-func (a *agent) serverDo(f func(*standin.Executor)) {
+func (a *agent) serverDo(f func(*standin.BackendServer)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	f(a.executor)
@@ -265,7 +265,7 @@
 		p.kill()
 	}
 	for _, a := range w.agents {
-		a.serverDo((*standin.Executor).Close)
+		a.serverDo((*standin.BackendServer).Close)
 	}
 	for _, r := range w.relays {
 		r.close()
@@ -275,21 +275,21 @@
 
 // heal ends all faults and brings every process back.
 func (w *world) heal() {
-	w.store.Fail("", standin.None)
+	w.store.SetFault("", standin.NoFault)
 	for _, r := range w.relays {
 		r.set(pass, 0)
 		r.reset() // what a silent connection swallowed never comes
 	}
 	for _, a := range w.agents {
-		a.serverDo(func(e *standin.Executor) {
-			e.LoseStarts(false)
+		a.serverDo(func(e *standin.BackendServer) {
+			e.DropStartResponses(false)
 			e.DelayStarts(0)
 			e.FailAll(false)
 			e.Resize(serverCPU)
 		})
 	}
 	for _, p := range w.processes() {
-		w.store.Fail(p.name, standin.None)
+		w.store.SetFault(p.name, standin.NoFault)
 	}
 }
 
