--- a/daemon/agent/executor_test.go
+++ b/daemon/agent/backend_test.go
@@ -16,32 +16,31 @@
 	"github.com/shallotstep/shallotstep/transport/bootclock"
 )
 
-// resetting is a backend server that resets each connection at once.
-type resetting struct{ holds, stops atomic.Int64 }
+// resettingServer is a backend server that resets each connection at once.
+type resettingServer struct{ holds, stops atomic.Int64 }
 
 var errReset = errors.New("connection reset by peer")
 
-func (r *resetting) Start(context.Context, worker.StartCall) (worker.StartOutcome, string) {
+func (r *resettingServer) Start(context.Context, worker.StartCall) (worker.StartOutcome, string) {
 	return worker.StartUnknown, "reset"
 }
-func (r *resetting) Stop(context.Context, worker.StopCall) bool {
+func (r *resettingServer) Stop(context.Context, worker.StopCall) bool {
 	r.stops.Add(1)
 	return false
 }
-func (r *resetting) Hold(context.Context, worker.HoldCall, time.Duration) (worker.HoldResult, error) {
+func (r *resettingServer) Hold(context.Context, worker.HoldCall, time.Duration) (worker.HoldResult, error) {
 	r.holds.Add(1)
 	return worker.HoldResult{}, errReset
 }
 
-// A backend server goes down and up, and while it is down it takes connections and resets
-// them. Each call fails at once, and its agent asked again at once: thousands of new
-// connections, and a processor that had no time left for its jobs. Within 400 ms there is
-// room for some ten calls now.
+// A backend server that is down accepts connections and resets them, so each call fails at once.
+// Without a backoff, the agent opened thousands of new connections and left no processor time for
+// its jobs. With the backoff, about ten calls fit into 400 ms.
 func TestCallsThatFailAtOnceAreSpaced(t *testing.T) {
 	is := is.New(t)
 	a := New(coretest.Settings(), coretest.RejectingStore{}, core.DrainSource{}, nil)
-	server := &resetting{}
-	a.executor = server
+	server := &resettingServer{}
+	a.backend = server
 	a.worker.Report(bootclock.Now(), worker.Server{Instance: "i", Service: "desk", Capacity: job.Demand{CPUMillis: 1000}}, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
 	defer cancel()
--- a/daemon/agent/enrol.go
+++ b/daemon/agent/enrol.go
@@ -14,62 +14,63 @@
 	"github.com/shallotstep/shallotstep/transport/pause"
 )
 
-// enrol returns the number of this life, which rises with each one since it is the offset
-// of a record that this life writes; zero if the context has ended.
-func (a *Agent) enrol(ctx context.Context) int64 {
-	var life int64
-	core.Retry(ctx, "The agent can't begin its life yet", func() error {
-		offset, err := a.note(ctx, lifeKey(a.settings.Name), []byte(a.member))
-		life = offset + 1
+// startIncarnation stores a record for this incarnation of the agent and returns the incarnation
+// number. The number is the record's offset plus one, so it increases with each incarnation. The
+// result must not be used if ctx has ended.
+func (a *Agent) startIncarnation(ctx context.Context) int64 {
+	var incarnation int64
+	core.Retry(ctx, "Can't store the incarnation of the agent yet", func() error {
+		offset, err := a.appendNote(ctx, incarnationKey(a.settings.Name), []byte(a.member))
+		incarnation = offset + 1
 		return err
 	})
-	return life
+	return incarnation
 }
 
-// takeNotes takes in what earlier lives have written down.
-func (a *Agent) takeNotes(ctx context.Context) earlier {
-	var e earlier
-	core.Retry(ctx, "The notes of earlier lives can't be read yet", func() error {
+// restoreNotes reads the notes of earlier incarnations, applies them, and returns them.
+func (a *Agent) restoreNotes(ctx context.Context) storedState {
+	var s storedState
+	core.Retry(ctx, "Can't read the notes of earlier incarnations yet", func() error {
 		var err error
-		e, err = a.readNotes(ctx)
+		s, err = a.readNotes(ctx)
 		return err
 	})
 	if ctx.Err() != nil {
-		return earlier{}
+		return storedState{}
 	}
-	a.placed.carryOver(bootclock.Now(), e.Owners)
-	a.registered.CompareAndSwap(nil, e.Registered)
-	if e.recorded {
-		a.marked.Store(true)
+	a.recentPlacers.restore(bootclock.Now(), s.Owners)
+	a.registered.CompareAndSwap(nil, s.Registered)
+	if s.hasMarker {
+		a.markerStored.Store(true)
 	}
-	if e.effortOnly() {
-		a.worker.SetFormerOwners(e.Owners)
+	if s.bestEffortOnly() {
+		a.worker.SetFormerOwners(s.Owners)
 	}
-	return e
+	return s
 }
 
-// keepRegistered has the registry say what the agent offers, from the first report of its
-// backend server on, until the context ends. It looks again when what it says may have
-// changed.
-func (a *Agent) keepRegistered(ctx context.Context) {
+// maintainRegistration keeps the agent's registration up to date until the context ends. The
+// agent registers after the first report of its backend server, and again when offerUpdates is
+// signalled and the registration has changed.
+func (a *Agent) maintainRegistration(ctx context.Context) {
 	for ctx.Err() == nil {
 		before := a.registered.Load()
-		core.Retry(ctx, "The agent can't register yet", func() error { return a.register(ctx) })
+		core.Retry(ctx, "Can't register the agent yet", func() error { return a.register(ctx) })
 		if a.registered.Load() != before {
-			_ = pause.For(ctx, offerPause)
+			_ = pause.For(ctx, registrationInterval)
 		}
 		select {
 		case <-ctx.Done():
-		case <-a.offerNews:
+		case <-a.offerUpdates:
 		}
 	}
 }
 
-// offerPause spaces the writes of a registration. A capacity that goes back and forth would
-// be written, and read by all entries, with each report.
-const offerPause = time.Second
+// registrationInterval is the least time between two writes of the registration. Without it, a
+// capacity that alternates would be written, and read by all entries, with each report.
+const registrationInterval = time.Second
 
-// register has the registry say what the agent offers, unless it does.
+// register writes the registration to the registry, unless the registry has it already.
 func (a *Agent) register(ctx context.Context) error {
 	reg, ok := a.registration()
 	if last := a.registered.Load(); !ok || last != nil && reg.Equal(last) {
@@ -79,70 +80,71 @@
 		return err
 	}
 	a.registered.Store(reg)
-	a.placed.again()
+	a.recentPlacers.markDirty()
 	klog.InfoS("The agent is registered", "links", reg.LinkAddr, "zone", reg.Domain, "service", reg.Offer.Service, "labels", reg.Offer.Labels, "orphans", reg.Orphans)
 	return nil
 }
 
-// offerChanged has the registration looked at again.
+// offerChanged signals that the registration may have changed.
 func (a *Agent) offerChanged() {
 	select {
-	case a.offerNews <- struct{}{}:
+	case a.offerUpdates <- struct{}{}:
 	default:
 	}
 }
 
-// registration is what the registry should say; false before the first report.
+// registration returns the agent's present registration. It returns false while no backend server
+// is known.
 func (a *Agent) registration() (*core.Registration, bool) {
 	s, ok := a.worker.Server()
 	if !ok {
 		return nil, false
 	}
 	return &core.Registration{
-		LinkAddr: a.settings.Listen.LinksAddress(), Domain: a.settings.Domain, Orphans: a.orphaned.Load(),
+		LinkAddr: a.settings.Listen.LinksAddress(), Domain: a.settings.Domain, Orphans: a.hasOrphans.Load(),
 		Offer: &core.Offer{Service: s.Service, Labels: s.Labels, Capacity: s.Capacity},
 	}, true
 }
 
-// keepNotes writes down whose orders this agent has taken, when that changes, and asks
-// for the owners of ends that wait for them.
-func (a *Agent) keepNotes(ctx context.Context, now time.Duration) {
-	if a.placed.due(now) {
+// maintainNotes writes the notes when their contents have changed. Once an end is orphaned, it
+// also announces that in the registry, so that owners link this agent and settle the end.
+func (a *Agent) maintainNotes(ctx context.Context, now time.Duration) {
+	if a.recentPlacers.writeDue(now) {
 		go a.writeNotes(ctx)
 	}
-	if !a.worker.HasOrphanedEnds(now) || a.orphaned.Swap(true) {
+	if !a.worker.HasOrphanedEnds(now) || a.hasOrphans.Swap(true) {
 		return
 	}
-	klog.InfoS("Ends wait for the owners of their shards; they are asked to claim")
+	klog.InfoS("Ends are waiting for the owners of their shards; asking the owners to claim")
 	a.offerChanged()
 }
 
-// resume goes on with the backend server that the earlier life knew, if that
+// resume continues with the backend server that an earlier incarnation has stored, if that
 // instance answers.
-func (a *Agent) resume(ctx context.Context, s *knownServer) {
+func (a *Agent) resume(ctx context.Context, s *storedServer) {
 	if !s.usable() {
 		return
 	}
 	call, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
-	h, err := a.executor.Hold(call, worker.HoldCall{Instance: s.Instance}, 0)
+	h, err := a.backend.Hold(call, worker.HoldCall{Instance: s.Instance}, 0)
 	if err != nil {
-		klog.InfoS("The backend server of the earlier life does not answer", "instance", s.Instance, "err", err)
+		klog.InfoS("The backend server of the earlier incarnation does not answer", "instance", s.Instance, "err", err)
 		return
 	}
-	klog.InfoS("Going on with the backend server of the earlier life", "instance", s.Instance)
+	klog.InfoS("Resuming the backend server of the earlier incarnation", "instance", s.Instance)
 	a.apply(a.worker.Resume(bootclock.Now(), worker.Server{
 		Instance: s.Instance, Service: s.Service, Labels: s.Labels, Capacity: s.Capacity, Draining: s.Draining,
 	}, h.ClockMS))
 }
 
-func known(s worker.Server, varies bool) *knownServer {
-	return &knownServer{Instance: s.Instance, Service: s.Service, Labels: s.Labels, Capacity: s.Capacity, Draining: s.Draining, Varies: varies}
+func newStoredServer(s worker.Server, varies bool) *storedServer {
+	return &storedServer{Instance: s.Instance, Service: s.Service, Labels: s.Labels, Capacity: s.Capacity, Draining: s.Draining, Varies: varies}
 }
 
-// Report takes in a report of the backend server.
+// Report handles a report of the backend server.
 func (a *Agent) Report(s worker.Server, clockMS int64) {
-	if !a.believes(s) {
+	if !a.acceptsReport(s) {
 		metrics.Malformed(metrics.KindReport)
 		return
 	}
@@ -153,34 +155,35 @@
 		return
 	}
 	klog.InfoS("The backend server has changed", "instance", s.Instance, "service", s.Service, "labels", s.Labels, "cores", s.Capacity.CPUMillis, "draining", s.Draining, "cold", s.ColdRemaining)
-	a.placed.again()
+	a.recentPlacers.markDirty()
 }
 
-// believes reports whether a report may be of the backend server beside this agent. It
-// may be another writer's, or an earlier instance's that was held up: taken for a new
-// one, the runs of the present instance would count as lost and be started again beside
-// themselves. So the backend server itself is asked; one that does not answer can't
-// start anything either.
-func (a *Agent) believes(s worker.Server) bool {
+// acceptsReport reports whether s may be a report of the backend server beside this agent. It may
+// also come from another writer, or be a delayed report of an earlier instance. If that were
+// taken for a new instance, the runs of the present instance would count as lost and their tasks
+// would run twice. So a report of another instance is checked with a hold for that instance. If
+// the backend server doesn't answer the hold, the report is accepted: such a server can't start
+// anything either.
+func (a *Agent) acceptsReport(s worker.Server) bool {
 	known, ok := a.worker.Server()
-	if !ok || !a.enrolled.Load() {
+	if !ok || !a.serving.Load() {
 		return true
 	}
 	if known.Instance == s.Instance {
 		if known.Service != s.Service {
-			klog.InfoS("A report names another service for the same instance and is left out", "instance", s.Instance, "service", s.Service, "known", known.Service)
+			klog.InfoS("Ignoring a report that names another service for the same instance", "instance", s.Instance, "service", s.Service, "known", known.Service)
 		}
 		return known.Service == s.Service
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	_, err := a.executor.Hold(ctx, worker.HoldCall{Instance: s.Instance}, 0)
+	_, err := a.backend.Hold(ctx, worker.HoldCall{Instance: s.Instance}, 0)
 	if errors.Is(err, worker.ErrOtherInstance) {
-		klog.InfoS("A report is of an instance that is not there and is left out", "instance", s.Instance, "known", known.Instance)
+		klog.InfoS("Ignoring a report of an instance that is not running", "instance", s.Instance, "known", known.Instance)
 		return false
 	}
 	return true
 }
 
-// Left takes in that the backend server is going.
+// Left handles the deregistration of an instance of the backend server.
 func (a *Agent) Left(instance string) { a.apply(a.worker.Deregistered(instance)) }
--- a/daemon/agent/enrol_test.go
+++ b/daemon/agent/enrol_test.go
@@ -18,7 +18,7 @@
 	"github.com/shallotstep/shallotstep/state/store"
 )
 
-// registryStore keeps what is written to the registry.
+// registryStore records the registrations that are written.
 type registryStore struct {
 	coretest.RejectingStore
 	mu      sync.Mutex
@@ -38,9 +38,9 @@
 	return 0, nil
 }
 
-// A backend server's capacity goes back and forth with each of its reports. Written each
-// time, its registration would be read as often by all entries; it is written once a
-// second at most, at once when it is the first, and what it says last is what holds.
+// The capacity of a backend server alternates with each of its reports. If the registration were
+// written each time, all entries would read it as often. The first registration is written at
+// once, later ones at most once a second, and the last one written has the last capacity reported.
 func TestRegistrationFollowsTheCapacityWithPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -48,7 +48,7 @@
 		a := New(&settings.Settings{Role: settings.RoleAgent, Name: "a", Store: settings.Store{Topics: 1, Partitions: coretest.Shards}}, st, core.DrainSource{}, nil)
 		ctx, cancel := context.WithCancel(t.Context())
 		var done sync.WaitGroup
-		done.Go(func() { a.keepRegistered(ctx) })
+		done.Go(func() { a.maintainRegistration(ctx) })
 		const reports = 50
 		for i := range reports {
 			a.apply(a.worker.Report(time.Hour, worker.Server{
@@ -59,9 +59,9 @@
 			if i == 0 {
 				is.Equal(len(st.written), 1)
 			}
-			time.Sleep(offerPause / 10)
+			time.Sleep(registrationInterval / 10)
 		}
-		time.Sleep(2 * offerPause)
+		time.Sleep(2 * registrationInterval)
 		synctest.Wait()
 		cancel()
 		done.Wait()
--- a/daemon/agent/metrics.go
+++ b/daemon/agent/metrics.go
@@ -7,8 +7,8 @@
 	"github.com/shallotstep/shallotstep/daemon/core"
 )
 
-// watchWorker registers the counters of an agent's books.
-func watchWorker(m *core.Metrics, w *worker.Worker) {
+// registerWorkerMetrics registers the counters of the worker's state machine.
+func registerWorkerMetrics(m *core.Metrics, w *worker.Worker) {
 	for _, c := range []struct {
 		name, help string
 		value      func(worker.Stats) int64
--- a/daemon/agent/notes.go
+++ b/daemon/agent/notes.go
@@ -15,15 +15,16 @@
 	"github.com/shallotstep/shallotstep/transport/metrics"
 )
 
-// notesTopics spreads the agents' notes. A partition takes one append at a time, in 4 ms
-// usually and in 300 where the store is slow; when a hundred agents come back at once each
-// writes one before it can serve. With one partition for all they were served again 2.7 s
-// after their return.
+// notesTopics is the number of topics that hold the agents' notes. A partition takes one append
+// at a time, usually in 4 ms, and in 300 ms if the store is slow. Each agent appends a record
+// before it serves, so when a hundred agents came back at once and shared one partition, they
+// served again only after 2.7 s.
 const notesTopics = 4
 
-// notesPartition has what an agent writes down for its next life. Nobody else reads it: in
-// the registry, which all entries follow, each note would be read by each of them. A read
-// returns all of a partition, so the agents are spread over those of the topics.
+// notesPartition returns the partition with the agent's notes for its next incarnation. The notes
+// are kept apart from the registry because all entries follow the registry and would read every
+// note. A read returns a whole partition, so the agents are spread by the hash of their names
+// over the partitions of all topics.
 func (a *Agent) notesPartition() store.Partition {
 	h := fnv.New32a()
 	h.Write([]byte(a.settings.Name)) //nolint:errcheck // it never fails
@@ -31,28 +32,27 @@
 	return notes.Partition(int(h.Sum32() % uint32(notes.Size())))
 }
 
-// notesWait is how long an agent that has its number waits for its notes: a few times
-// what a read takes. Without them runs of earlier lives wait for their owners as long as
-// an agent without notes has them wait, and the backend server is known with its next
-// report only.
-const notesWait = 100 * time.Millisecond
+// notesTimeout is how long an agent that has its incarnation number waits for its notes. It is a
+// few times the duration of a read. Without the notes, runs of earlier incarnations wait for
+// their owners as they do at an agent that has none, and the backend server is known only after
+// its next report.
+const notesTimeout = 100 * time.Millisecond
 
-// notes are an agent's, under its name as key.
+// notes is what an agent stores for its next incarnation, with its name as the key.
 type notes struct {
-	// Owners are those whose orders the agent has taken; see worker.SetFormerOwners.
+	// Owners are the owners whose orders the agent has received; see worker.Former.
 	Owners []string `json:"owners"`
-	// Member is the agent's last name in the group that shares out the shards.
+	// Member is the name of the incarnation in the owners' group.
 	Member string `json:"member,omitempty"`
-	// Server is the backend server that the agent saw last. The agent's next life goes
-	// on with it at once, if the same instance answers, instead of waiting for its next
-	// report.
-	Server *knownServer `json:"server,omitempty"`
-	// Registered is what the registry has of the agent.
+	// Server is the last known backend server. If the same instance answers, the next
+	// incarnation continues with it at once instead of waiting for its next report.
+	Server *storedServer `json:"server,omitempty"`
+	// Registered is the agent's registration in the registry.
 	Registered *core.Registration `json:"registered,omitempty"`
 }
 
-// knownServer is what an agent remembers of its backend server.
-type knownServer struct {
+// storedServer is what an agent stores about its backend server.
+type storedServer struct {
 	Instance string     `json:"instance"`
 	Service  string     `json:"service"`
 	Labels   []string   `json:"labels"`
@@ -62,101 +62,103 @@
 	Varies bool `json:"varies,omitempty"`
 }
 
-// usable reports whether a remembered backend server has all that is needed of one. One
-// whose capacity varies has not: it may have shrunk since it was written down, and what
-// this life started by it would not fit. Its next report is waited for.
-func (s *knownServer) usable() bool {
+// usable reports whether an agent can continue with a stored backend server before its next
+// report. A server whose capacity varies is not usable: the capacity may have shrunk since it was
+// stored, and the runs started by it would not fit.
+func (s *storedServer) usable() bool {
 	return s != nil && !s.Varies && s.Instance != "" && s.Service != "" && s.Capacity.CPUMillis > 0
 }
 
-// lifeKey is the key of the record that begins a life: its offset numbers the life. It is
-// no part of the notes, which are read while it is written.
-func lifeKey(name string) string { return lifePrefix + name }
+// incarnationKey returns the key of the record whose offset numbers an incarnation. The record is
+// separate from the notes because they are read while it is written.
+func incarnationKey(name string) string { return incarnationPrefix + name }
 
-const lifePrefix = "\x00life/"
+const incarnationPrefix = "\x00life/"
 
-// markKey is the key of an agent's mark: an owner of recorded jobs may have claimed
-// there. It is a record of its own, which is never taken back; notes that were on their
-// way would otherwise overwrite it.
-func markKey(name string) string { return markPrefix + name }
+// markerKey returns the key of the marker that an owner of recorded jobs may have claimed a shard
+// at the agent. The marker is never removed. It is separate from the notes because notes that are
+// still in transit would overwrite it.
+func markerKey(name string) string { return markerPrefix + name }
 
-// markPrefix begins with a byte that no agent's name has.
-const markPrefix = "\x00recorded/"
+// markerPrefix begins with a byte that no agent's name contains.
+const markerPrefix = "\x00recorded/"
 
-// earlier is what an agent's earlier lives have written down.
-type earlier struct {
+// storedState is what the earlier incarnations of an agent have stored.
+type storedState struct {
 	notes
-	// noted is set where there were notes, and recorded where there was the mark.
-	noted, recorded bool
+	// hasNotes is set if there are notes, and hasMarker if there is the marker for recorded
+	// jobs.
+	hasNotes, hasMarker bool
 }
 
-// effortOnly reports whether all runs of the earlier lives are of best-effort jobs.
-func (e *earlier) effortOnly() bool { return e.noted && !e.recorded }
+// bestEffortOnly reports whether all runs of the earlier incarnations belong to best-effort jobs.
+func (s *storedState) bestEffortOnly() bool { return s.hasNotes && !s.hasMarker }
 
-// readNotes returns what an agent's earlier lives have written down.
-func (a *Agent) readNotes(ctx context.Context) (earlier, error) {
+// readNotes reads what the earlier incarnations of the agent have stored. Malformed notes are
+// ignored.
+func (a *Agent) readNotes(ctx context.Context) (storedState, error) {
 	ctx, cancel := context.WithTimeout(ctx, core.StoreTimeout)
 	defer cancel()
 	name := a.settings.Name
 	records, _, err := a.store.Newest(ctx, a.notesPartition())
 	if err != nil {
-		return earlier{}, errors.Wrap(err, "notes")
+		return storedState{}, errors.Wrap(err, "read notes")
 	}
-	var out earlier
+	var out storedState
 	for _, r := range records {
 		switch {
-		case r.Key == markKey(name):
-			out.recorded = true
+		case r.Key == markerKey(name):
+			out.hasMarker = true
 		case r.Key == name && r.Value != nil:
 			var n notes
 			if err := json.Unmarshal(r.Value, &n); err != nil {
 				metrics.Malformed(metrics.KindNotes)
-				klog.ErrorS(err, "The notes of an earlier life are malformed")
+				klog.ErrorS(err, "Ignoring malformed notes of an earlier incarnation")
 				continue
 			}
-			out.notes, out.noted = n, true
+			out.notes, out.hasNotes = n, true
 		}
 	}
 	return out, nil
 }
 
-// writeNotes writes down what the next life is to know.
+// writeNotes writes the notes for the next incarnation.
 func (a *Agent) writeNotes(ctx context.Context) {
-	n := notes{Owners: a.placed.owners(), Member: a.member, Registered: a.registered.Load()}
+	n := notes{Owners: a.recentPlacers.owners(), Member: a.member, Registered: a.registered.Load()}
 	if s, ok := a.worker.Server(); ok {
-		n.Server = known(s, a.worker.CapacityChanged())
+		n.Server = newStoredServer(s, a.worker.CapacityChanged())
 	}
 	b, err := json.Marshal(&n)
 	if err != nil {
-		klog.ErrorS(err, "Notes can't be encoded")
+		klog.ErrorS(err, "Can't encode the notes")
 		return
 	}
-	if _, err := a.note(ctx, a.settings.Name, b); err != nil {
-		klog.InfoS("The notes for the next life could not be written; it waits longer", "err", err)
-		a.placed.again()
+	if _, err := a.appendNote(ctx, a.settings.Name, b); err != nil {
+		klog.InfoS("Could not write the notes for the next incarnation; will retry", "err", err)
+		a.recentPlacers.markDirty()
 	}
 }
 
-// note writes a record for the next life and returns its offset.
-func (a *Agent) note(ctx context.Context, key string, value []byte) (int64, error) {
+// appendNote appends a record to the notes partition and returns its offset.
+func (a *Agent) appendNote(ctx context.Context, key string, value []byte) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, core.StoreTimeout)
 	defer cancel()
 	return a.store.Append(ctx, a.notesPartition(), nil, []store.Record{{Key: key, Value: value}})
 }
 
-// mark writes down that owners of recorded jobs claim here, and returns once it is.
-// Without it the next life would take runs of recorded jobs for best-effort ones, and
-// acknowledge ends that nobody has recorded.
-func (a *Agent) mark() {
-	a.marking.Lock()
-	defer a.marking.Unlock()
-	if a.marked.Load() {
+// storeMarker stores the marker that owners of recorded jobs claim shards here, and returns once
+// it is stored. Without it the next incarnation would take runs of recorded jobs for best-effort
+// ones, and acknowledge ends that no owner has recorded.
+func (a *Agent) storeMarker() {
+	a.markerMu.Lock()
+	defer a.markerMu.Unlock()
+	if a.markerStored.Load() {
 		return
 	}
 	ctx := context.Background()
-	core.Retry(ctx, "That recorded jobs may run here could not be written down; their owner waits", func() error {
-		_, err := a.note(ctx, markKey(a.settings.Name), []byte(a.member))
+	core.Retry(ctx, "Could not store the marker for recorded jobs yet; the owner's claim has to wait", func() error {
+		_, err := a.appendNote(ctx, markerKey(a.settings.Name), []byte(a.member))
 		return err
 	})
-	a.marked.Store(true)
+	a.markerStored.Store(true)
 }
--- a/daemon/agent/placers.go
+++ b/daemon/agent/placers.go
@@ -10,88 +10,92 @@
 )
 
 const (
-	// placersPause spaces the writes of who has placed work here. After a start all
-	// entries place their first task within a moment, and one write covers them.
-	placersPause = 500 * time.Millisecond
-	// placersMemory is how long one that places nothing more is kept: longer than a
-	// task of best-effort jobs takes.
-	placersMemory = time.Minute
+	// placersWriteInterval is the least time between two writes of the notes. After a
+	// start, all entries place their first task at almost the same time, and one write
+	// covers them.
+	placersWriteInterval = 500 * time.Millisecond
+	// placerRetention is how long an owner is kept after its last order. It is longer
+	// than a task of a best-effort job takes.
+	placerRetention = time.Minute
 )
 
-// placersLog knows whose orders this agent has taken. It is written down in the agent's
-// notes, so that its next life knows of whom the runs can be that it finds at its
-// backend server. See worker.SetFormerOwners.
-type placersLog struct {
+// recentPlacers records the owners whose orders this agent has received. They are stored in
+// the agent's notes, so that its next incarnation knows which owners the runs that it finds on
+// its backend server may belong to. See worker.Former.
+type recentPlacers struct {
 	mu sync.Mutex
 	// All fields below are guarded by mu.
 
-	// lives has the last life of each node that has placed work, and ordered when that
-	// was.
-	lives   map[string]string
-	ordered map[string]time.Duration
-	dirty   bool
-	written time.Duration
+	// ownerByNode has the newest owner of each node that has placed work, and lastOrder
+	// the time of its last order.
+	ownerByNode map[string]string
+	lastOrder   map[string]time.Duration
+	// dirty is set while the notes have to be written. writtenAt is when the last write
+	// became due.
+	dirty     bool
+	writtenAt time.Duration
 }
 
-func newPlacersLog() *placersLog {
-	return &placersLog{lives: make(map[string]string), ordered: make(map[string]time.Duration)}
+func newRecentPlacers() *recentPlacers {
+	return &recentPlacers{ownerByNode: make(map[string]string), lastOrder: make(map[string]time.Duration)}
 }
 
-// carryOver takes in what an earlier life has written down. What this life has seen is
-// newer.
-func (l *placersLog) carryOver(now time.Duration, owners []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	dirty := l.dirty
+// restore adds the owners that an earlier incarnation has stored, except for nodes that have
+// already sent orders to this incarnation.
+func (p *recentPlacers) restore(now time.Duration, owners []string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	dirty := p.dirty
 	for _, o := range owners {
-		if l.lives[worker.NodeOf(o)] == "" {
-			l.putLocked(now, o)
+		if p.ownerByNode[worker.NodeOf(o)] == "" {
+			p.recordLocked(now, o)
 		}
 	}
-	l.dirty = dirty
+	p.dirty = dirty
 }
 
-func (l *placersLog) putLocked(now time.Duration, owner string) {
+func (p *recentPlacers) recordLocked(now time.Duration, owner string) {
 	node := worker.NodeOf(owner)
-	l.dirty = l.dirty || l.lives[node] != owner
-	l.lives[node], l.ordered[node] = owner, now
+	p.dirty = p.dirty || p.ownerByNode[node] != owner
+	p.ownerByNode[node], p.lastOrder[node] = owner, now
 }
 
-// again has the notes written once more.
-func (l *placersLog) again() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.dirty = true
+// markDirty makes the notes due to be written again.
+func (p *recentPlacers) markDirty() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.dirty = true
 }
 
-// note takes in that an owner has sent orders.
-func (l *placersLog) note(now time.Duration, owner string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.putLocked(now, owner)
+// record records that an owner has sent orders.
+func (p *recentPlacers) record(now time.Duration, owner string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.recordLocked(now, owner)
 }
 
-// due reports whether there is something to write down, once for each change.
-func (l *placersLog) due(now time.Duration) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.dirty || now-l.written < placersPause {
+// writeDue reports whether the notes have to be written. It does so once for each change, and
+// then also drops the owners whose last order is older than placerRetention.
+func (p *recentPlacers) writeDue(now time.Duration) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !p.dirty || now-p.writtenAt < placersWriteInterval {
 		return false
 	}
-	l.dirty, l.written = false, now
-	maps.DeleteFunc(l.ordered, func(node string, at time.Duration) bool {
-		old := now-at > placersMemory
+	p.dirty, p.writtenAt = false, now
+	maps.DeleteFunc(p.lastOrder, func(node string, at time.Duration) bool {
+		old := now-at > placerRetention
 		if old {
-			delete(l.lives, node)
+			delete(p.ownerByNode, node)
 		}
 		return old
 	})
 	return true
 }
 
-// owners returns the names.
-func (l *placersLog) owners() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.Sorted(maps.Values(l.lives))
+// owners returns the names of the recorded owners, sorted.
+func (p *recentPlacers) owners() []string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return slices.Sorted(maps.Values(p.ownerByNode))
 }
--- /dev/null
+++ b/daemon/agent/requests.go
@@ -0,0 +1,102 @@
+package agent
+
+import (
+	"context"
+	"time"
+
+	"k8s.io/klog/v2"
+
+	"github.com/shallotstep/shallotstep/coordination/owner"
+	"github.com/shallotstep/shallotstep/daemon/core"
+	"github.com/shallotstep/shallotstep/state/job"
+	"github.com/shallotstep/shallotstep/transport/bootclock"
+	"github.com/shallotstep/shallotstep/transport/pause"
+)
+
+// responseNotOwner is the response to a request for a shard that this agent doesn't own.
+var responseNotOwner = owner.Response{Outcome: owner.NotOwner, Reason: owner.ReasonOwnerChanged}
+
+// Submit implements peer.AgentHandler.
+func (a *Agent) Submit(shard int, id job.ID, spec job.Spec, p job.Policy, reply func(owner.Response)) {
+	r := a.shard(shard)
+	if r == nil || !a.ownershipConfirmed() {
+		reply(responseNotOwner)
+		return
+	}
+	if now := bootclock.Now(); a.links.RecordNeed(now, &spec, &p) && a.links.IsOpen() {
+		a.linkWaitUntil.Set(now + core.LinkWaitTimeout)
+		a.links.Reconcile(now)
+	}
+	a.awaitLinks(r)
+	r.Step(func(now time.Duration) owner.Effects { return r.Shard.Submit(now, id, spec, p, reply) })
+}
+
+const (
+	// linkWaitTimeout bounds the wait for links when an owner gets its first job. A
+	// dial, a claim and the record of the claimed agents take 50 ms, on a slow host
+	// 200 ms.
+	linkWaitTimeout = 400 * time.Millisecond
+	// linkPollInterval is the interval at which a waiting job checks the links.
+	linkPollInterval = 5 * time.Millisecond
+)
+
+// awaitLinks opens the links to other agents, if they are not open, and waits until orders may be
+// sent to all wanted agents, but not beyond linkWaitUntil. Without the wait, the first jobs of an
+// owner would be refused because no worker is available. Later jobs don't wait: an agent that is
+// not linked by then is down.
+func (a *Agent) awaitLinks(r *shardRunner) {
+	if !a.links.IsOpen() {
+		klog.InfoS("Linking the agents for the first job of an owner", "shard", r.ID)
+		a.linkWaitUntil.Set(bootclock.Now() + linkWaitTimeout)
+		a.links.Open()
+	}
+	for bootclock.Now() < a.linkWaitUntil.Get() {
+		if wanted, known := a.links.NumWanted(); known && r.ReachableAgents() >= wanted {
+			return
+		}
+		_ = pause.For(context.Background(), linkPollInterval)
+	}
+}
+
+// Lookup implements peer.AgentHandler.
+func (a *Agent) Lookup(shard int, id job.ID) owner.Response {
+	r := a.shard(shard)
+	if r == nil {
+		return responseNotOwner
+	}
+	resp := r.Shard.Lookup(id)
+	if resp.Outcome == owner.Absent && !a.ownershipConfirmed() {
+		// A newer owner may know the job.
+		return responseNotOwner
+	}
+	return resp
+}
+
+// Cancel implements peer.AgentHandler.
+func (a *Agent) Cancel(shard int, id job.ID, reply func(owner.Response)) {
+	r := a.shard(shard)
+	if r == nil || !a.ownershipConfirmed() {
+		reply(responseNotOwner)
+		return
+	}
+	r.Step(func(now time.Duration) owner.Effects { return r.Shard.Cancel(now, id, reply) })
+}
+
+// Await implements peer.AgentHandler.
+func (a *Agent) Await(shard int, id job.ID, reply func(owner.Response)) {
+	r := a.shard(shard)
+	if r == nil || !a.ownershipConfirmed() {
+		reply(responseNotOwner)
+		return
+	}
+	r.Step(func(time.Duration) owner.Effects { return r.Shard.Await(id, reply) })
+}
+
+// Pending implements peer.AgentHandler.
+func (a *Agent) Pending(queue string) owner.Response {
+	resp := owner.Response{}
+	for _, r := range a.ownedShards() {
+		resp.Count += r.Shard.Pending(queue)
+	}
+	return resp
+}
