--- a/transport/loadgen/check.go
+++ b/transport/loadgen/check.go
@@ -85,16 +85,16 @@
 }
 
 // job checks everything that the callers of one job were told.
-func (c *checker) job(r *record) {
-	c.submission(r, &r.first)
-	c.submission(r, &r.second)
-	c.pair(r)
-	c.cancellation(r)
+func (c *checker) checkJob(r *record) {
+	c.checkSubmission(r, &r.first)
+	c.checkSubmission(r, &r.second)
+	c.checkResubmission(r)
+	c.checkCancellation(r)
 }
 
 // submission checks one answer by itself. The client takes an answer that isn't
 // whole for a lost one; here it counts as what it is.
-func (c *checker) submission(r *record, p *reply) {
+func (c *checker) checkSubmission(r *record, p *reply) {
 	if !p.made {
 		return
 	}
@@ -120,14 +120,14 @@
 	if p.failure == nil || p.failure.Err == nil {
 		return false
 	}
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
-	return errors.As(p.failure.Err, &syntax) || errors.As(p.failure.Err, &kind)
+	var syntaxErr *json.SyntaxError
+	var typeErr *json.UnmarshalTypeError
+	return errors.As(p.failure.Err, &syntaxErr) || errors.As(p.failure.Err, &typeErr)
 }
 
 // pair checks the answers to two submissions under one id against each other.
 // A reply of unknown outcome agrees with any other.
-func (c *checker) pair(r *record) {
+func (c *checker) checkResubmission(r *record) {
 	if !r.first.made || !r.second.made {
 		return
 	}
@@ -136,23 +136,23 @@
 		return
 	}
 	if (a == state.NotRun) != (b == state.NotRun) {
-		c.expect(CheckNotRun, r.id, r.anew(), "one caller is told %s, the other %s", r.first.told(), r.second.told())
+		c.expect(CheckNotRun, r.id, r.resubmittedAfterNotRun(), "one caller is told %s, the other %s", r.first.describe(), r.second.describe())
 		return
 	}
 	c.expect(CheckNotRun, r.id, true, "")
 	same := a == b && sameResults(r.first.answer.Results, r.second.answer.Results)
-	c.expect(CheckSame, r.id, same, "one caller is told %s, the other %s", r.first.told(), r.second.told())
+	c.expect(CheckSame, r.id, same, "one caller is told %s, the other %s", r.first.describe(), r.second.describe())
 }
 
 // anew says that the second submission was sent after the first one was known
 // to have not run. It may run then: the refusal spoke of the first one.
-func (r *record) anew() bool {
+func (r *record) resubmittedAfterNotRun() bool {
 	return r.second.made && r.first.outcome() == state.NotRun && r.second.sent >= r.first.done
 }
 
 // settled is what holds of the id in the end.
-func (r *record) settled() state.Outcome {
-	if r.anew() {
+func (r *record) settledOutcome() state.Outcome {
+	if r.resubmittedAfterNotRun() {
 		return r.second.outcome()
 	}
 	return r.first.outcome()
@@ -172,12 +172,12 @@
 
 // cancellation checks that a job which is cancelled for one caller isn't
 // complete for the other.
-func (c *checker) cancellation(r *record) {
-	if !r.stop.made || !r.first.made {
+func (c *checker) checkCancellation(r *record) {
+	if !r.cancellation.made || !r.first.made {
 		return
 	}
-	both := cancelled(&r.stop) && r.first.complete()
-	c.expect(CheckCancel, r.id, !both, "cancelled as %s, and the answer is complete", state.Outcome(r.stop.answer.Outcome))
+	both := cancelled(&r.cancellation) && r.first.complete()
+	c.expect(CheckCancel, r.id, !both, "cancelled as %s, and the answer is complete", state.Outcome(r.cancellation.answer.Outcome))
 }
 
 func cancelled(p *reply) bool {
@@ -185,7 +185,7 @@
 }
 
 // told is the outcome with its reason and when it came.
-func (r *reply) told() string {
+func (r *reply) describe() string {
 	text := r.outcome().String()
 	if reason := r.reason(); reason != "" {
 		text += " (" + string(reason) + ")"
--- a/transport/loadgen/check_test.go
+++ b/transport/loadgen/check_test.go
@@ -16,7 +16,7 @@
 	"github.com/shallotstep/shallotstep/transport/httpclient"
 )
 
-func TestRightAnswersPass(t *testing.T) {
+func TestCorrectAnswersPass(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
 	c.Resubmit = 0.5
@@ -34,13 +34,13 @@
 // Entries that mix up, cut or double what they answer, each in its own way. The
 // client refuses some of these answers by itself; the report must still say
 // that the entry sent them, and the run must not pass.
-func TestBentAnswersAreCaught(t *testing.T) {
+func TestIncorrectAnswersFailTheChecks(t *testing.T) {
 	refused := func(outcome state.Outcome) *httpclient.Failure {
 		return &httpclient.Failure{Outcome: outcome, Problem: api.NewProblem(state.ReasonBusy, outcome, "")}
 	}
-	for name, bent := range map[string]struct {
-		check CheckName
-		bend  func(id string, n int, a *api.Answer) *httpclient.Failure
+	for name, tc := range map[string]struct {
+		check   CheckName
+		corrupt func(id string, n int, a *api.Answer) *httpclient.Failure
 	}{
 		"cut":     {CheckWhole, func(_ string, _ int, a *api.Answer) *httpclient.Failure { a.Results = a.Results[:1]; return nil }},
 		"pending": {CheckWhole, func(_ string, _ int, a *api.Answer) *httpclient.Failure { a.Outcome = 0; a.Results = nil; return nil }},
@@ -87,9 +87,9 @@
 			is := is.New(t)
 			c := testConfig(t)
 			c.Resubmit = 1
-			r := run(t, c, &fakeEntry{bend: bent.bend})
+			r := run(t, c, &fakeEntry{corrupt: tc.corrupt})
 			is.True(!r.Passed())
-			is.True(r.check(bent.check).Failed > 0)
+			is.True(r.check(tc.check).Failed > 0)
 			is.Equal(len(r.Violations), maxViolations)
 		})
 	}
@@ -98,11 +98,11 @@
 // An entry refuses every first submission as not run and runs every second one.
 // Where the second was sent after the refusal had come that is how it should be;
 // where it was on its way before, two callers are told two things of one id.
-func TestNotRunSpeaksOfWhatWasSentBefore(t *testing.T) {
+func TestNotRunCoversOnlyEarlierSubmissions(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
 	c.Resubmit = 1
-	e := &fakeEntry{bend: func(_ string, n int, a *api.Answer) *httpclient.Failure {
+	e := &fakeEntry{corrupt: func(_ string, n int, a *api.Answer) *httpclient.Failure {
 		if n > 0 {
 			return nil
 		}
@@ -110,15 +110,15 @@
 		return &httpclient.Failure{Outcome: state.NotRun, Problem: api.NewProblem(state.ReasonOverload, state.NotRun, "")}
 	}}
 	r := run(t, c, e)
-	anew := 0
+	runAfterNotRun := 0
 	for _, row := range r.Rows {
 		is.Equal(row.Outcome, "not_run")
 		if row.Settled == "complete" {
-			anew++
+			runAfterNotRun++
 		}
 	}
-	is.True(anew > 0 && anew < r.Jobs)
-	is.Equal(r.check(CheckNotRun), Check{CheckNotRun, r.Jobs, r.Jobs - anew})
+	is.True(runAfterNotRun > 0 && runAfterNotRun < r.Jobs)
+	is.Equal(r.check(CheckNotRun), Check{CheckNotRun, r.Jobs, r.Jobs - runAfterNotRun})
 }
 
 // The entry tells one caller that the job is cancelled and the other that it is
@@ -135,11 +135,11 @@
 
 // A second submission whose outcome the caller doesn't know agrees with any
 // first one, and a reply that broke off on the way is no fault of the entry's.
-func TestUnknownIsNoContradiction(t *testing.T) {
+func TestUnknownOutcomeMatchesAnyOther(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
 	c.Resubmit = 1
-	e := &fakeEntry{bend: func(_ string, n int, a *api.Answer) *httpclient.Failure {
+	e := &fakeEntry{corrupt: func(_ string, n int, a *api.Answer) *httpclient.Failure {
 		if n == 0 {
 			return nil
 		}
--- a/transport/loadgen/config.go
+++ b/transport/loadgen/config.go
@@ -73,14 +73,14 @@
 }
 
 // Check returns what is wrong with the configuration, or nil.
-func (c *Config) Check() error {
-	if fault := c.fault(); fault != nil {
-		return errors.New(fault.text)
+func (c *Config) Validate() error {
+	if fieldErr := c.validateLoad(); fieldErr != nil {
+		return errors.New(fieldErr.msg)
 	}
-	if i, fault := phaseFault(c.Phases, c.Length.D()); fault != nil {
-		return errors.Errorf("phase %d: %s", i+1, fault.text)
+	if i, fieldErr := validatePhases(c.Phases, c.Length.D()); fieldErr != nil {
+		return errors.Errorf("phase %d: %s", i+1, fieldErr.msg)
 	}
-	if !checkRun(c.Run) {
+	if !validRunName(c.Run) {
 		return errors.New("the run's name is empty or too long")
 	}
 	if c.Length.D() <= 0 || c.Length.D() > MaxLength {
@@ -89,7 +89,7 @@
 	if c.Patience.D() < 0 || c.Patience.D() > MaxPatience {
 		return errors.Errorf("the patience must be from zero to %v", MaxPatience)
 	}
-	if c.jobRate()*newWarp(c.Length.D(), c.Phases).total().Seconds() > maxJobs {
+	if c.jobRate()*newRateProfile(c.Length.D(), c.Phases).nominalLength().Seconds() > maxJobs {
 		return errors.Errorf("more than %d jobs", maxJobs)
 	}
 	return nil
@@ -97,27 +97,27 @@
 
 // fault returns what is wrong with what one load has for itself, or nil. The
 // key is the plan file's.
-func (c *Config) fault() *keyFault {
+func (c *Config) validateLoad() *fieldError {
 	switch {
 	case c.Service == "":
-		return &keyFault{"service", "no service is named"}
-	case !c.oneRate():
-		return &keyFault{"", "one of tasks_per_second, jobs_per_second and load_percent must be above zero, and the others not given"}
+		return &fieldError{"service", "no service is named"}
+	case !c.hasOneRate():
+		return &fieldError{"", "one of tasks_per_second, jobs_per_second and load_percent must be above zero, and the others not given"}
 	case c.Load > maxLoad:
-		return &keyFault{"load_percent", "the load is above 10 times all slots"}
+		return &fieldError{"load_percent", "the load is above 10 times all slots"}
 	case c.Load > 0 && c.Mix.Mean() <= 0:
-		return &keyFault{"load_percent", "a load needs tasks that take time"}
+		return &fieldError{"load_percent", "a load needs tasks that take time"}
 	case c.Deadline.D() < 0:
-		return &keyFault{"deadline", "the deadline is below zero"}
+		return &fieldError{"deadline", "the deadline is below zero"}
 	case !(c.Resubmit >= 0) || !(c.Cancel >= 0) || c.Resubmit+c.Cancel > 1:
-		return &keyFault{"resubmit_share", "the shares of resubmissions and cancellations must be from 0 to 1, and so must their sum"}
+		return &fieldError{"resubmit_share", "the shares of resubmissions and cancellations must be from 0 to 1, and so must their sum"}
 	case len(c.Sizes.ranges) == 0 || len(c.Mix.Kinds) == 0:
-		return &keyFault{"mix", "the tasks per job or the mix are missing"}
+		return &fieldError{"mix", "the tasks per job or the mix are missing"}
 	}
 	return nil
 }
 
-func (c *Config) oneRate() bool {
+func (c *Config) hasOneRate() bool {
 	set := 0
 	for _, v := range []float64{c.TasksPerSecond, c.JobsPerSecond, c.Load} {
 		if v < 0 || math.IsNaN(v) {
--- a/transport/loadgen/counts.go
+++ b/transport/loadgen/counts.go
@@ -55,11 +55,11 @@
 
 func (s *Cancellations) add(r *record) {
 	switch {
-	case !r.stop.made:
+	case !r.cancellation.made:
 		return
-	case r.stop.failure != nil:
+	case r.cancellation.failure != nil:
 		s.Failed++
-	case cancelled(&r.stop):
+	case cancelled(&r.cancellation):
 		s.Cancelled++
 	default:
 		s.TooLate++
--- a/transport/loadgen/curves.go
+++ b/transport/loadgen/curves.go
@@ -15,7 +15,7 @@
 const lineWidth = 1.5 * vg.Millimeter / 3
 
 // legendRoom keeps the curves out of the legend: a decade above them.
-const legendRoom = 10
+const legendHeadroom = 10
 
 // curve is one line of a plot with its points in the order of x.
 type curve struct {
@@ -60,16 +60,16 @@
 	for _, m := range all {
 		for _, r := range m.Loads {
 			name := r.Config.Service
-			for _, part := range []struct {
-				name string
-				of   func(*Figures) float64
+			for _, percentile := range []struct {
+				name  string
+				value func(*Summary) float64
 			}{
-				{" p50", func(f *Figures) float64 { return f.P50 }},
-				{" p95", func(f *Figures) float64 { return f.P95 }},
-				{" p99", func(f *Figures) float64 { return f.P99 }},
+				{" p50", func(f *Summary) float64 { return f.P50 }},
+				{" p95", func(f *Summary) float64 { return f.P95 }},
+				{" p99", func(f *Summary) float64 { return f.P99 }},
 			} {
-				response.add(name+part.name, percent*r.Load, part.of(&r.Response))
-				ratio.add(name+part.name, percent*r.Load, part.of(&r.Ratio))
+				response.add(name+percentile.name, percent*r.Load, percentile.value(&r.Response))
+				ratio.add(name+percentile.name, percent*r.Load, percentile.value(&r.Ratio))
 			}
 		}
 	}
@@ -86,17 +86,17 @@
 }
 
 // newCurvePlot draws curves over a logarithmic y.
-func newCurvePlot(title, x, y string, c curves) (*plot.Plot, error) {
+func newCurvePlot(title, xLabel, yLabel string, c curves) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, xLabel, yLabel
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Add(plotter.NewGrid())
 	if err := c.draw(p); err != nil {
 		return nil, err
 	}
-	p.Y.Min, p.Y.Max = decades(p.Y.Min, p.Y.Max)
-	p.Y.Max *= legendRoom
+	p.Y.Min, p.Y.Max = roundToDecades(p.Y.Min, p.Y.Max)
+	p.Y.Max *= legendHeadroom
 	return p, nil
 }
 
--- a/transport/loadgen/httpbackend.go
+++ b/transport/loadgen/httpbackend.go
@@ -31,15 +31,15 @@
 }
 
 // Starts implements Backend.
-func (b *HTTPBackend) Starts(ctx context.Context, prefix string) (map[TaskName]int, error) {
+func (b *HTTPBackend) Starts(ctx context.Context, prefix string) (map[TaskKey]int, error) {
 	var doc standin.Starts
 	query := url.Values{standin.PrefixParameter: {prefix}}
 	if err := b.call(ctx, http.MethodGet, standin.StartsPath+"?"+query.Encode(), nil, &doc); err != nil {
 		return nil, err
 	}
-	counts := make(map[TaskName]int, len(doc.Tasks))
+	counts := make(map[TaskKey]int, len(doc.Tasks))
 	for _, t := range doc.Tasks {
-		counts[TaskName{Job: state.JobKey{Service: t.Service, ID: t.Job}, Step: t.Step, Index: t.Index}] += t.Starts
+		counts[TaskKey{Job: state.JobKey{Service: t.Service, ID: t.Job}, Step: t.Step, Index: t.Index}] += t.Starts
 	}
 	return counts, nil
 }
--- a/transport/loadgen/ideal.go
+++ b/transport/loadgen/ideal.go
@@ -8,8 +8,8 @@
 // ideal returns the larger of the job's longest task, which is its critical
 // path, and its work spread over the free slots; and the round trips, which no
 // job can do without. It leaves out every other job of the run.
-func (j *planned) ideal(size systemSize) time.Duration {
-	return max(j.longest(), j.work()/time.Duration(max(1, size.free))) + roundTrips*size.trip
+func (j *plannedJob) idealResponse(size systemSize) time.Duration {
+	return max(j.longestRunTime(), j.work()/time.Duration(max(1, size.free))) + minRoundTrips*size.roundTrip
 }
 
 // freeTimes is a heap of when slots get free.
@@ -34,18 +34,18 @@
 // in order of arrival to the first free slot of the whole system in no time.
 // It shows which part of a response no dispatcher that serves in order of
 // arrival can save at this load.
-func packed(jobs []planned, slots int) []time.Duration {
+func packedResponses(jobs []plannedJob, slots int) []time.Duration {
 	free := make(freeTimes, max(1, slots))
 	out := make([]time.Duration, len(jobs))
 	for i := range jobs {
 		j := &jobs[i]
-		end := j.at
+		end := j.due
 		for k := range j.tasks {
-			free[0] = max(j.at, free[0]) + j.tasks[k].run
+			free[0] = max(j.due, free[0]) + j.tasks[k].runTime
 			end = max(end, free[0])
 			heap.Fix(&free, 0)
 		}
-		out[i] = end - j.at
+		out[i] = end - j.due
 	}
 	return out
 }
--- a/transport/loadgen/draw_test.go
+++ b/transport/loadgen/jobs_test.go
@@ -18,23 +18,23 @@
 
 func TestIdealAndPacked(t *testing.T) {
 	is := is.New(t)
-	job := func(at time.Duration, runs ...time.Duration) planned {
-		j := planned{at: at}
+	job := func(at time.Duration, runs ...time.Duration) plannedJob {
+		j := plannedJob{due: at}
 		for _, run := range runs {
-			j.tasks = append(j.tasks, plannedTask{run: run})
+			j.tasks = append(j.tasks, plannedTask{runTime: run})
 		}
 		return j
 	}
 	long := job(0, 3, 1, 1, 1)
-	is.Equal(long.ideal(systemSize{free: 2}), time.Duration(3)) // longest and spread alike
+	is.Equal(long.idealResponse(systemSize{free: 2}), time.Duration(3)) // longest and spread alike
 	wide := job(0, 2, 2, 2, 2)
-	is.Equal(wide.ideal(systemSize{slots: 8, free: 2}), time.Duration(4)) // spread over the free slots
-	is.Equal(wide.ideal(systemSize{free: 8}), time.Duration(2))           // longest
-	is.Equal(wide.ideal(systemSize{free: 8, trip: 1}), time.Duration(7))  // and five round trips
+	is.Equal(wide.idealResponse(systemSize{slots: 8, free: 2}), time.Duration(4))     // spread over the free slots
+	is.Equal(wide.idealResponse(systemSize{free: 8}), time.Duration(2))               // longest
+	is.Equal(wide.idealResponse(systemSize{free: 8, roundTrip: 1}), time.Duration(7)) // and five round trips
 	// Two slots: the first job holds them until 2 and 3, the second until 6 and
 	// 7, and the third finds both free.
-	jobs := []planned{job(0, 2, 3), job(1, 4, 4), job(10, 5)}
-	is.Equal(packed(jobs, 2), []time.Duration{3, 6, 5})
+	jobs := []plannedJob{job(0, 2, 3), job(1, 4, 4), job(10, 5)}
+	is.Equal(packedResponses(jobs, 2), []time.Duration{3, 6, 5})
 }
 
 func TestPlanKeepsRateMixAndSeed(t *testing.T) {
@@ -49,36 +49,36 @@
 		is.NoErr(err)
 		c.Sizes, err = ParseSizes(DefaultTasks)
 		is.NoErr(err)
-		is.NoErr(c.Check())
-		plan := newPlan(&c, 88)
-		var tasks, long, again, cancel int
+		is.NoErr(c.Validate())
+		plan := drawJobs(&c, 88)
+		var tasks, long, resubmitted, cancelled int
 		var work time.Duration
 		for i := range plan {
 			j := &plan[i]
 			tasks += len(j.tasks)
 			work += j.work()
 			for _, task := range j.tasks {
-				is.True(task.run >= 50*time.Millisecond && task.run <= 8*time.Second)
-				if task.run > time.Second {
+				is.True(task.runTime >= 50*time.Millisecond && task.runTime <= 8*time.Second)
+				if task.runTime > time.Second {
 					long++
 				}
 			}
-			if j.again > 0 {
-				again++
+			if j.resubmitAt > 0 {
+				resubmitted++
 			}
-			if j.cancel > 0 {
-				cancel++
+			if j.cancelAt > 0 {
+				cancelled++
 			}
 		}
-		close := func(got, want float64) { is.True(math.Abs(got/want-1) < 0.1) }
-		close(float64(tasks)/MaxLength.Seconds(), 500)
-		close(work.Seconds()/float64(tasks), c.Mix.Mean().Seconds())
-		close(float64(again)/float64(len(plan)), 0.2)
-		close(float64(cancel)/float64(len(plan)), 0.1)
+		approx := func(got, want float64) { is.True(math.Abs(got/want-1) < 0.1) }
+		approx(float64(tasks)/MaxLength.Seconds(), 500)
+		approx(work.Seconds()/float64(tasks), c.Mix.Mean().Seconds())
+		approx(float64(resubmitted)/float64(len(plan)), 0.2)
+		approx(float64(cancelled)/float64(len(plan)), 0.1)
 		is.True(long > 0 && long < tasks/50) // a few
-		is.Equal(len(newPlan(&c, 88)), len(plan))
+		is.Equal(len(drawJobs(&c, 88)), len(plan))
 		c.Seed++
-		is.True(len(newPlan(&c, 88)) != len(plan))
+		is.True(len(drawJobs(&c, 88)) != len(plan))
 	}
 }
 
@@ -90,14 +90,14 @@
 	for seed := range uint64(20) {
 		c := testConfig(t)
 		c.JobsPerSecond, c.Load, c.Seed = 0, 0.95, seed
-		is.NoErr(c.Check())
+		is.NoErr(c.Validate())
 		var work, last time.Duration
 		ids := make(map[string]bool)
-		for _, j := range newPlan(&c, slots) {
+		for _, j := range drawJobs(&c, slots) {
 			work += j.work()
 			ids[j.id] = true
-			is.True(j.at >= last && j.at < c.Length.D())
-			last = j.at
+			is.True(j.due >= last && j.due < c.Length.D())
+			last = j.due
 			for i := range j.tasks {
 				is.True(strings.HasPrefix(j.echo(i), j.id+"/"))
 			}
@@ -115,7 +115,7 @@
 	}
 	_, err := ParseMix("other", 0)
 	is.True(err != nil)
-	for _, spoil := range []func(*Config){
+	for _, invalidate := range []func(*Config){
 		func(c *Config) { c.Service = "" },
 		func(c *Config) { c.TasksPerSecond = 1 },
 		func(c *Config) { c.JobsPerSecond = 0 },
@@ -128,8 +128,8 @@
 		func(c *Config) { c.Run = strings.Repeat("x", state.MaxIDLength) },
 	} {
 		c := testConfig(t)
-		spoil(&c)
-		is.True(c.Check() != nil) // refused
+		invalidate(&c)
+		is.True(c.Validate() != nil) // refused
 	}
 	empty := &fakeEntry{}
 	c := testConfig(t)
@@ -147,15 +147,15 @@
 	return string(body)
 }
 
-func TestReportSurvivesItsFileAndIsCompared(t *testing.T) {
+func TestReportRoundTripAndComparison(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
 	a := run(t, c, &fakeEntry{})
 	c.Seed = 2
-	b := run(t, c, &fakeEntry{stalled: time.Now().Add(time.Second)})
+	b := run(t, c, &fakeEntry{stalledUntil: time.Now().Add(time.Second)})
 	dir := t.TempDir()
 	path := filepath.Join(dir, "a.json")
-	is.NoErr(alone(a).Write(path))
+	is.NoErr(singleLoadMeasurement(a).Write(path))
 	back, err := Read(path)
 	is.NoErr(err)
 	again := filepath.Join(dir, "again.json")
@@ -166,9 +166,9 @@
 	_, err = Read(filepath.Join(dir, "none"))
 	is.True(err != nil)
 
-	diff := Compare(alone(a), alone(b))
+	diff := Compare(singleLoadMeasurement(a), singleLoadMeasurement(b))
 	is.True(diff.Passed)
-	is.Equal(diff.Unlike, []string{"seed: 1, 2"})
+	is.Equal(diff.Mismatches, []string{"seed: 1, 2"})
 	last := diff.Differences[len(diff.Differences)-1]
 	by, ok := last.Change()
 	is.True(ok)
@@ -177,11 +177,11 @@
 	diff.Print(&out)
 	is.True(strings.Contains(out.String(), last.Name))
 
-	is.NoErr(alone(a).Plot(filepath.Join(dir, "a.png")))
+	is.NoErr(singleLoadMeasurement(a).Plot(filepath.Join(dir, "a.png")))
 	file, err := os.Open(filepath.Join(dir, "a.png"))
 	is.NoErr(err)
 	defer file.Close()
 	_, err = png.DecodeConfig(file)
 	is.NoErr(err)
-	is.NoErr(alone(&Report{}).Plot(filepath.Join(dir, "empty.png")))
+	is.NoErr(singleLoadMeasurement(&Report{}).Plot(filepath.Join(dir, "empty.png")))
 }
--- a/transport/loadgen/measurement.go
+++ b/transport/loadgen/measurement.go
@@ -28,7 +28,7 @@
 	Passed bool `json:"passed"`
 }
 
-func newMeasurement(p *Plan, loads []*traffic, elapsed time.Duration) *Measurement {
+func newMeasurement(p *Plan, loads []*loadRun, elapsed time.Duration) *Measurement {
 	m := &Measurement{Format: reportFormat, Note: idealNote, Plan: p, Elapsed: Duration(elapsed)}
 	for _, l := range loads {
 		m.Loads = append(m.Loads, newReport(l))
@@ -36,7 +36,7 @@
 	return m
 }
 
-func (m *Measurement) finish() {
+func (m *Measurement) setPassed() {
 	m.Passed = m.Starts.Failed() == 0 && m.Starts.Failure == "" &&
 		!slices.ContainsFunc(m.Loads, func(r *Report) bool { return !r.Passed() }) &&
 		!slices.ContainsFunc(m.Steps, func(s StepResult) bool { return s.Failure != "" })
--- a/transport/loadgen/mix.go
+++ b/transport/loadgen/mix.go
@@ -10,34 +10,34 @@
 
 // Kind is one kind of task. Its run time is from Least to Most, each alike
 // often, in whole milliseconds.
-type Kind struct {
-	Step        string
-	Share       float64
-	Least, Most time.Duration
+type TaskKind struct {
+	Step                   string
+	Share                  float64
+	MinRunTime, MaxRunTime time.Duration
 }
 
-func (k *Kind) mean() time.Duration { return (k.Least + k.Most) / 2 }
+func (k *TaskKind) meanRunTime() time.Duration { return (k.MinRunTime + k.MaxRunTime) / 2 }
 
 // Mix is what the tasks of a run do. The shares of its kinds add up to 1.
 type Mix struct {
 	Name string
 	// Service is the service that the mix is for, where there is one.
 	Service string
-	Kinds   []Kind
+	Kinds   []TaskKind
 }
 
 // fixedMix is the name of a mix with one run time.
-const fixedMix = "fixed"
+const fixedMixName = "fixed"
 
 // The users' own mixes: most tasks take 50 ms to a second, a few several.
 var (
-	haneulMix = Mix{Name: "haneul", Service: "bench-desk", Kinds: []Kind{
+	haneulMix = Mix{Name: "haneul", Service: "bench-desk", Kinds: []TaskKind{
 		{"eye-size", 0.35, 50 * time.Millisecond, 200 * time.Millisecond},
 		{"damage-list", 0.30, 100 * time.Millisecond, 400 * time.Millisecond},
 		{"photo-assessment", 0.34, 300 * time.Millisecond, time.Second},
 		{"restoration-scan", 0.01, 2 * time.Second, 8 * time.Second},
 	}}
-	gridlogMix = Mix{Name: "gridlog", Service: "yard-logbook", Kinds: []Kind{
+	gridlogMix = Mix{Name: "gridlog", Service: "yard-logbook", Kinds: []TaskKind{
 		{"inspection", 0.60, 50 * time.Millisecond, 300 * time.Millisecond},
 		{"fault-clearance", 0.25, 100 * time.Millisecond, 600 * time.Millisecond},
 		{"isolation-record", 0.145, 200 * time.Millisecond, time.Second},
@@ -52,20 +52,20 @@
 		return haneulMix, nil
 	case gridlogMix.Name:
 		return gridlogMix, nil
-	case fixedMix:
+	case fixedMixName:
 		work = work.Truncate(time.Millisecond)
 		if work < 0 {
 			return Mix{}, errors.New("the work takes less than no time")
 		}
-		return Mix{Name: fixedMix, Kinds: []Kind{{fixedMix, 1, work, work}}}, nil
+		return Mix{Name: fixedMixName, Kinds: []TaskKind{{fixedMixName, 1, work, work}}}, nil
 	}
 	return Mix{}, errors.Errorf("the mix is haneul, gridlog or fixed, not %q", name)
 }
 
 // text is the mix's name, with the run time where it isn't told by the name.
 func (m Mix) text() string {
-	if m.Name == fixedMix {
-		return m.Name + " " + m.Kinds[0].Least.String()
+	if m.Name == fixedMixName {
+		return m.Name + " " + m.Kinds[0].MinRunTime.String()
 	}
 	return m.Name
 }
@@ -86,12 +86,12 @@
 func (m Mix) Mean() time.Duration {
 	mean := 0.0
 	for i := range m.Kinds {
-		mean += m.Kinds[i].Share * float64(m.Kinds[i].mean())
+		mean += m.Kinds[i].Share * float64(m.Kinds[i].meanRunTime())
 	}
 	return time.Duration(mean)
 }
 
-func (m Mix) draw(rng *rand.Rand) (*Kind, time.Duration) {
+func (m Mix) draw(rng *rand.Rand) (*TaskKind, time.Duration) {
 	x := rng.Float64()
 	k := &m.Kinds[len(m.Kinds)-1]
 	for i := range m.Kinds {
@@ -101,6 +101,6 @@
 		}
 		x -= m.Kinds[i].Share
 	}
-	span := (k.Most - k.Least).Milliseconds()
-	return k, k.Least + time.Duration(rng.Int64N(span+1))*time.Millisecond
+	span := (k.MaxRunTime - k.MinRunTime).Milliseconds()
+	return k, k.MinRunTime + time.Duration(rng.Int64N(span+1))*time.Millisecond
 }
--- a/transport/loadgen/plan.go
+++ b/transport/loadgen/plan.go
@@ -51,7 +51,7 @@
 )
 
 // faults has the document for each fault.
-var faults = map[Fault]standin.Faults{
+var standinFaults = map[Fault]standin.Faults{
 	FaultFailAll: {FailAll: true},
 	FaultRefuse:  {Refuse: true},
 }
@@ -66,14 +66,14 @@
 )
 
 // Check returns what is wrong with the plan, or nil.
-func (p *Plan) Check() error {
+func (p *Plan) Validate() error {
 	if len(p.Loads) == 0 || len(p.Loads) > maxLoads {
 		return errors.Errorf("a plan has 1 to %d loads", maxLoads)
 	}
 	services := make(map[string]bool)
 	for i := range p.Loads {
 		c := &p.Loads[i]
-		if err := c.Check(); err != nil {
+		if err := c.Validate(); err != nil {
 			return errors.Wrapf(err, "load %d", i+1)
 		}
 		if services[c.Service] {
@@ -85,8 +85,8 @@
 		return errors.Errorf("more than %d steps", maxSteps)
 	}
 	for i := range p.Steps {
-		if fault := p.Steps[i].fault(p.length(), len(p.Backends)); fault != nil {
-			return errors.Errorf("step %d: %s", i+1, fault.text)
+		if fieldErr := p.Steps[i].validate(p.length(), len(p.Backends)); fieldErr != nil {
+			return errors.Errorf("step %d: %s", i+1, fieldErr.msg)
 		}
 	}
 	return nil
@@ -109,50 +109,50 @@
 }
 
 // keyFault is what is wrong with one key.
-type keyFault struct{ key, text string }
+type fieldError struct{ key, msg string }
 
 // fault returns what is wrong with a step of a run of that length, or nil.
-func (s *Step) fault(length time.Duration, backends int) *keyFault {
+func (s *Step) validate(length time.Duration, backends int) *fieldError {
 	kinds := 0
 	for _, set := range []bool{s.CancelInFlight, s.Fault != ""} {
 		if set {
 			kinds++
 		}
 	}
-	_, known := faults[s.Fault]
+	_, known := standinFaults[s.Fault]
 	switch {
 	case kinds != 1:
-		return &keyFault{"", "a step has one of cancel_in_flight and fault"}
+		return &fieldError{"", "a step has one of cancel_in_flight and fault"}
 	case s.At.D() < 0 || s.At.D() > length:
-		return &keyFault{"at", "outside the run"}
+		return &fieldError{"at", "outside the run"}
 	case s.Fault == "" && (s.Backend != 0 || s.For != 0):
-		return &keyFault{"", "backend and for belong to a fault"}
+		return &fieldError{"", "backend and for belong to a fault"}
 	case s.Fault == "":
 		return nil
 	case !known:
-		return &keyFault{"fault", "must be fail_all or refuse"}
+		return &fieldError{"fault", "must be fail_all or refuse"}
 	case s.Backend < 1 || s.Backend > backends:
-		return &keyFault{"backend", "must be the place in backends, counted from 1"}
+		return &fieldError{"backend", "must be the place in backends, counted from 1"}
 	case s.For.D() <= 0 || s.For.D() > MaxLength:
-		return &keyFault{"for", "must be above zero and at most " + MaxLength.String()}
+		return &fieldError{"for", "must be above zero and at most " + MaxLength.String()}
 	}
 	return nil
 }
 
 // phaseFault returns what is wrong with the phases of a run, or nil, and which
 // one it is.
-func phaseFault(phases []Phase, length time.Duration) (int, *keyFault) {
+func validatePhases(phases []Phase, length time.Duration) (int, *fieldError) {
 	end := time.Duration(0)
 	for i, p := range phases {
 		switch {
 		case i >= maxPhases:
-			return i, &keyFault{"", "too many phases"}
+			return i, &fieldError{"", "too many phases"}
 		case p.At.D() < end:
-			return i, &keyFault{"at", "begins before the phase before it ends"}
+			return i, &fieldError{"at", "begins before the phase before it ends"}
 		case p.For.D() <= 0 || p.At.D()+p.For.D() > length:
-			return i, &keyFault{"for", "must be above zero and end within the run"}
+			return i, &fieldError{"for", "must be above zero and end within the run"}
 		case !(p.Rate >= 0) || p.Rate > maxRate:
-			return i, &keyFault{"rate", "must be from 0 to 1000"}
+			return i, &fieldError{"rate", "must be from 0 to 1000"}
 		}
 		end = p.At.D() + p.For.D()
 	}
@@ -174,4 +174,4 @@
 }
 
 // checkRun says whether a run's name leaves room for the rest of an id.
-func checkRun(run string) bool { return run != "" && len(run) <= state.MaxIDLength/2 }
+func validRunName(run string) bool { return run != "" && len(run) <= state.MaxIDLength/2 }
--- a/transport/loadgen/plan_test.go
+++ b/transport/loadgen/plan_test.go
@@ -26,7 +26,7 @@
   ],
 }`
 
-func TestPlanIsReadAndEachFaultHasItsPlace(t *testing.T) {
+func TestParsePlanErrorsNameLineAndKey(t *testing.T) {
 	is := is.New(t)
 	p, err := ParsePlan("dir/plan.json", []byte(goodPlan))
 	is.NoErr(err)
@@ -67,18 +67,18 @@
 // in it, as a rate and as a load, and nothing in a phase without arrivals.
 func TestPhasesChangeTheArrivals(t *testing.T) {
 	is := is.New(t)
-	for _, spoil := range []func(*Config){
+	for _, setRate := range []func(*Config){
 		func(c *Config) { c.JobsPerSecond = 50 },
 		func(c *Config) { c.JobsPerSecond, c.Load = 0, 0.5 },
 	} {
 		c := testConfig(t)
-		spoil(&c)
+		setRate(&c)
 		c.Length = Duration(40 * time.Second)
 		c.Phases = []Phase{{Duration(10 * time.Second), Duration(10 * time.Second), 4}, {Duration(30 * time.Second), Duration(5 * time.Second), 0}}
-		is.NoErr(c.Check())
+		is.NoErr(c.Validate())
 		var quiet, burst, none int
-		for _, j := range newPlan(&c, 88) {
-			switch at := j.at; {
+		for _, j := range drawJobs(&c, 88) {
+			switch at := j.due; {
 			case at >= c.Length.D():
 				t.Fatal("after the run")
 			case at >= 10*time.Second && at < 20*time.Second:
--- a/transport/loadgen/planfile.go
+++ b/transport/loadgen/planfile.go
@@ -53,7 +53,7 @@
 }
 
 // unnamedRun stands for the run's name, which no file has.
-const unnamedRun = "run"
+const placeholderRun = "run"
 
 // ParsePlan reads a plan, which is JSON with comments. The name stands in
 // errors, and the paths of token files are relative to its directory. Errors
@@ -62,14 +62,14 @@
 	f := planFile{Length: DefaultLength, Patience: DefaultPatience}
 	doc, err := strictjson.DecodeDocument(name, src, &f)
 	r := planReader{doc: doc}
-	if err != nil && !errors.As(err, &r.faults) {
+	if err != nil && !errors.As(err, &r.errs) {
 		return nil, err
 	}
 	p := r.plan(&f, filepath.Dir(name))
-	if err := r.faults.Err(); err != nil {
+	if err := r.errs.Err(); err != nil {
 		return nil, err
 	}
-	if err := p.Check(); err != nil {
+	if err := p.Validate(); err != nil {
 		return nil, strictjson.Errors{doc.Errorf("", "%v", err)}
 	}
 	return p, nil
@@ -77,66 +77,66 @@
 
 // planReader turns a file into a plan and gathers the faults.
 type planReader struct {
-	doc    *strictjson.Document
-	faults strictjson.Errors
+	doc  *strictjson.Document
+	errs strictjson.Errors
 }
 
 // fault reports one fault, unless the decoder has found one at the key already.
-func (r *planReader) fault(key, text string) {
-	for _, f := range r.faults {
+func (r *planReader) addError(key, text string) {
+	for _, f := range r.errs {
 		if f.Key == key {
 			return
 		}
 	}
-	r.faults = append(r.faults, r.doc.Errorf(key, "%s", text))
+	r.errs = append(r.errs, r.doc.Errorf(key, "%s", text))
 }
 
-func (r *planReader) within(key string, fault *keyFault) {
+func (r *planReader) addFieldError(key string, fieldErr *fieldError) {
 	switch {
-	case fault == nil:
-	case fault.key == "":
-		r.fault(key, fault.text)
+	case fieldErr == nil:
+	case fieldErr.key == "":
+		r.addError(key, fieldErr.msg)
 	default:
-		r.fault(key+"."+fault.key, fault.text)
+		r.addError(key+"."+fieldErr.key, fieldErr.msg)
 	}
 }
 
 func (r *planReader) plan(f *planFile, dir string) *Plan {
-	p := &Plan{Name: f.Plan, Backends: f.Backends, BackendTokenFile: beside(dir, f.BackendTokenFile)}
+	p := &Plan{Name: f.Plan, Backends: f.Backends, BackendTokenFile: resolvePath(dir, f.BackendTokenFile)}
 	if f.Plan == "" {
-		r.fault("plan", "a plan needs a name")
+		r.addError("plan", "a plan needs a name")
 	}
 	if f.Length <= 0 || f.Length > MaxLength {
-		r.fault("length", "must be above zero and at most "+MaxLength.String())
+		r.addError("length", "must be above zero and at most "+MaxLength.String())
 	}
 	if f.Patience < 0 || f.Patience > MaxPatience {
-		r.fault("patience", "must be from zero to "+MaxPatience.String())
+		r.addError("patience", "must be from zero to "+MaxPatience.String())
 	}
 	phases := r.phases(f)
 	if len(f.Loads) == 0 {
-		r.fault("loads", "a plan needs a load")
+		r.addError("loads", "a plan needs a load")
 	}
 	for i := range f.Loads {
 		c := r.load(fmt.Sprintf("loads[%d]", i), &f.Loads[i], dir)
 		c.Length, c.Patience, c.Seed, c.Phases = Duration(f.Length), Duration(f.Patience), f.Seed, phases
-		c.Stream, c.Run = uint64(i), unnamedRun
+		c.Stream, c.Run = uint64(i), placeholderRun
 		p.Loads = append(p.Loads, c)
 	}
 	for i, address := range f.Backends {
 		if u, err := url.Parse(address); err != nil || u.Scheme == "" || u.Host == "" {
-			r.fault(fmt.Sprintf("backends[%d]", i), "must be a URL such as http://127.0.0.1:7431")
+			r.addError(fmt.Sprintf("backends[%d]", i), "must be a URL such as http://127.0.0.1:7431")
 		}
 	}
 	for i := range f.Steps {
 		s := f.Steps[i].step()
-		r.within(fmt.Sprintf("steps[%d]", i), s.fault(f.Length, len(f.Backends)))
+		r.addFieldError(fmt.Sprintf("steps[%d]", i), s.validate(f.Length, len(f.Backends)))
 		p.Steps = append(p.Steps, s)
 	}
 	return p
 }
 
 // beside returns the path of a file that a plan in dir names.
-func beside(dir, file string) string {
+func resolvePath(dir, file string) string {
 	if file == "" || filepath.IsAbs(file) {
 		return file
 	}
@@ -148,15 +148,15 @@
 	for _, p := range f.Phases {
 		out = append(out, Phase{At: Duration(p.At), For: Duration(p.For), Rate: p.Rate})
 	}
-	i, fault := phaseFault(out, f.Length)
-	r.within(fmt.Sprintf("phases[%d]", i), fault)
+	i, fieldErr := validatePhases(out, f.Length)
+	r.addFieldError(fmt.Sprintf("phases[%d]", i), fieldErr)
 	return out
 }
 
 func (r *planReader) load(key string, f *loadFile, dir string) Config {
 	const percent = 100
 	c := Config{
-		Service: f.Service, TokenFile: beside(dir, f.TokenFile),
+		Service: f.Service, TokenFile: resolvePath(dir, f.TokenFile),
 		TasksPerSecond: f.TasksPerSecond, JobsPerSecond: f.JobsPerSecond, Load: f.LoadPercent / percent,
 		Deadline: Duration(f.Deadline), Resubmit: f.ResubmitShare, Cancel: f.CancelShare,
 	}
@@ -168,22 +168,22 @@
 		tasks = DefaultTasks
 	}
 	work := f.Work
-	if mix != fixedMix && work != 0 {
-		r.fault(key+".work", "only the mix fixed has a work")
+	if mix != fixedMixName && work != 0 {
+		r.addError(key+".work", "only the mix fixed has a work")
 	}
 	var err error
 	if c.Mix, err = ParseMix(mix, work); err != nil {
-		r.fault(key+".mix", err.Error())
+		r.addError(key+".mix", err.Error())
 		return c
 	}
 	if c.Sizes, err = ParseSizes(tasks); err != nil {
-		r.fault(key+".tasks_per_job", err.Error())
+		r.addError(key+".tasks_per_job", err.Error())
 		return c
 	}
 	if c.Service == "" {
 		c.Service = c.Mix.Service
 	}
-	r.within(key, c.fault())
+	r.addFieldError(key, c.validateLoad())
 	return c
 }
 
--- a/transport/loadgen/plot.go
+++ b/transport/loadgen/plot.go
@@ -25,7 +25,7 @@
 	dotRadius  = 1.5 * vg.Millimeter / 2
 	plotMargin = 4 * vg.Millimeter
 	// leastMS keeps zero off the logarithmic axes.
-	leastMS = 1
+	minPlotMS = 1
 )
 
 var (
@@ -40,15 +40,15 @@
 func (m *Measurement) Plot(path string) error {
 	var plots []*plot.Plot
 	for _, r := range m.Loads {
-		against, err := r.againstIdeal()
+		byIdeal, err := r.responseAgainstIdeal()
 		if err != nil {
 			return errors.Wrap(err, "plot")
 		}
-		over, err := r.overTime()
+		byDue, err := r.responseOverTime()
 		if err != nil {
 			return errors.Wrap(err, "plot")
 		}
-		plots = append(plots, against, over)
+		plots = append(plots, byIdeal, byDue)
 	}
 	return savePlots(path, plots)
 }
@@ -73,8 +73,8 @@
 		return errors.Wrap(err, "plot")
 	}
 	_, err = canvas.WriteTo(file)
-	if shut := file.Close(); err == nil {
-		err = shut
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	return errors.Wrap(err, "plot")
 }
@@ -83,11 +83,11 @@
 func (r *Report) points(x func(*Row) float64) (complete, other plotter.XYs) {
 	for i := range r.Rows {
 		row := &r.Rows[i]
-		at := plotter.XY{X: x(row), Y: max(leastMS, milliseconds(row.Response.D()))}
+		point := plotter.XY{X: x(row), Y: max(minPlotMS, milliseconds(row.Response.D()))}
 		if row.Outcome == state.Complete.String() {
-			complete = append(complete, at)
+			complete = append(complete, point)
 		} else {
-			other = append(other, at)
+			other = append(other, point)
 		}
 	}
 	return complete, other
@@ -107,43 +107,43 @@
 	return nil
 }
 
-func (r *Report) newPlot(title, x string, at func(*Row) float64) (*plot.Plot, error) {
+func (r *Report) newPlot(title, xLabel string, xValue func(*Row) float64) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = title
-	p.X.Label.Text = x
+	p.X.Label.Text = xLabel
 	p.Y.Label.Text = "response, ms"
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Add(plotter.NewGrid())
-	complete, other := r.points(at)
+	complete, other := r.points(xValue)
 	if err := scatter(p, "complete", complete, completeColor); err != nil {
 		return nil, err
 	}
 	if err := scatter(p, "refused, failed or unknown", other, otherColor); err != nil {
 		return nil, err
 	}
-	p.Y.Min, p.Y.Max = decades(p.Y.Min, p.Y.Max)
+	p.Y.Min, p.Y.Max = roundToDecades(p.Y.Min, p.Y.Max)
 	return p, nil
 }
 
 // decades widens a range to whole powers of ten, as a logarithmic axis needs.
-func decades(least, most float64) (float64, float64) {
-	if !(least > 0) || math.IsInf(least, 0) || math.IsInf(most, 0) {
-		least, most = leastMS, 10*leastMS
+func roundToDecades(smallest, largest float64) (float64, float64) {
+	if !(smallest > 0) || math.IsInf(smallest, 0) || math.IsInf(largest, 0) {
+		smallest, largest = minPlotMS, 10*minPlotMS
 	}
-	low := math.Pow(10, math.Floor(math.Log10(least)))
-	high := math.Pow(10, math.Ceil(math.Log10(most)))
+	low := math.Pow(10, math.Floor(math.Log10(smallest)))
+	high := math.Pow(10, math.Ceil(math.Log10(largest)))
 	return low, max(high, 10*low)
 }
 
-func (r *Report) againstIdeal() (*plot.Plot, error) {
-	x := func(row *Row) float64 { return max(leastMS, milliseconds(row.Ideal.D())) }
+func (r *Report) responseAgainstIdeal() (*plot.Plot, error) {
+	x := func(row *Row) float64 { return max(minPlotMS, milliseconds(row.Ideal.D())) }
 	p, err := r.newPlot(r.Config.Service+": response against ideal", "ideal, ms", x)
 	if err != nil {
 		return nil, err
 	}
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
-	p.X.Min, p.X.Max = decades(p.X.Min, p.X.Max)
+	p.X.Min, p.X.Max = roundToDecades(p.X.Min, p.X.Max)
 	from, to := min(p.X.Min, p.Y.Min), min(p.X.Max, p.Y.Max)
 	l, err := plotter.NewLine(plotter.XYs{{X: from, Y: from}, {X: to, Y: to}})
 	if err != nil {
@@ -156,7 +156,7 @@
 	return p, nil
 }
 
-func (r *Report) overTime() (*plot.Plot, error) {
+func (r *Report) responseOverTime() (*plot.Plot, error) {
 	x := func(row *Row) float64 { return row.Due.D().Seconds() }
 	p, err := r.newPlot(r.Config.Service+": response over time", "due, s", x)
 	if err != nil {
--- a/transport/loadgen/text.go
+++ b/transport/loadgen/print.go
@@ -12,17 +12,17 @@
 // Print writes the measurement for a person.
 func (m *Measurement) Print(out io.Writer) {
 	if m.Plan.Name != "" {
-		fmt.Fprintf(out, "plan %s, %v in all\n", m.Plan.Name, m.Elapsed.D().Round(roundTo))
+		fmt.Fprintf(out, "plan %s, %v in all\n", m.Plan.Name, m.Elapsed.D().Round(displayRounding))
 	}
 	for _, r := range m.Loads {
 		r.print(out)
 	}
 	for _, s := range m.Steps {
-		word, text := "done", s.Detail
+		status, detail := "done", s.Detail
 		if s.Failure != "" {
-			word, text = "FAILED", s.Failure
+			status, detail = "FAILED", s.Failure
 		}
-		fmt.Fprintf(out, "step at %v %s: %s\n", s.Step.At.D(), word, text)
+		fmt.Fprintf(out, "step at %v %s: %s\n", s.Step.At.D(), status, detail)
 	}
 	m.Starts.print(out)
 	fmt.Fprintln(out, m.Note)
@@ -38,15 +38,15 @@
 		fmt.Fprintf(out, "%d starts at the backend servers %v: %d doubled, %d lost, %d started though not run\n",
 			s.Tasks, s.Backends, s.Doubled, s.Lost, s.NotRun)
 	}
-	for _, fault := range s.Faults {
-		fmt.Fprintf(out, "  %s\n", fault)
+	for _, discrepancy := range s.Discrepancies {
+		fmt.Fprintf(out, "  %s\n", discrepancy)
 	}
 }
 
 func (r *Report) print(out io.Writer) {
 	c := &r.Config
 	fmt.Fprintf(out, "%s: mix %s, tasks per job %s, seed %d, %v of arrivals, answers after %v\n",
-		c.Service, c.Mix.text(), c.Sizes.text, c.Seed, c.Length.D(), r.Elapsed.D().Round(roundTo))
+		c.Service, c.Mix.text(), c.Sizes.text, c.Seed, c.Length.D(), r.Elapsed.D().Round(displayRounding))
 	fmt.Fprintf(out, "%d agents, %d slots, %d free; %d jobs with %d tasks offered, %.1f%% of the slots; round trip %.2f ms\n",
 		r.Agents, r.Slots, r.FreeSlots, r.Jobs, r.Tasks, percent*r.Load, milliseconds(r.RoundTrip.D()))
 	for _, o := range r.Outcomes {
@@ -55,9 +55,9 @@
 	w := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "complete jobs\tmean\tp50\tp90\tp95\tp99\tmax\t")
 	for _, line := range r.distributions() {
-		f := line.figures
+		f := line.summary
 		fmt.Fprintf(w, "%s\t%.*f\t%.*f\t%.*f\t%.*f\t%.*f\t%.*f\t\n", line.name,
-			line.digits, f.Mean, line.digits, f.P50, line.digits, f.P90, line.digits, f.P95, line.digits, f.P99, line.digits, f.Max)
+			line.decimals, f.Mean, line.decimals, f.P50, line.decimals, f.P90, line.decimals, f.P95, line.decimals, f.P99, line.decimals, f.Max)
 	}
 	w.Flush()
 	fmt.Fprintf(out, "%d tasks of complete jobs, %.1f a second\n", r.CompleteTasks, r.StartsPerSecond)
@@ -68,14 +68,14 @@
 }
 
 // line is one distribution of a report.
-type line struct {
-	name    string
-	digits  int
-	figures Figures
+type distribution struct {
+	name     string
+	decimals int
+	summary  Summary
 }
 
-func (r *Report) distributions() []line {
-	return []line{
+func (r *Report) distributions() []distribution {
+	return []distribution{
 		{"response ms", 1, r.Response},
 		{"ideal ms", 1, r.Ideal},
 		{"response over ideal", 3, r.Ratio},
@@ -87,14 +87,14 @@
 
 func (r *Report) printChecks(out io.Writer) {
 	for _, c := range r.Checks {
-		word := "passed"
+		status := "passed"
 		switch {
 		case c.Failed > 0:
-			word = "FAILED"
+			status = "FAILED"
 		case c.Made == 0:
-			word = "not run"
+			status = "not run"
 		}
-		fmt.Fprintf(out, "check %-8s %-7s %d made, %d failed\n", c.Name, word, c.Made, c.Failed)
+		fmt.Fprintf(out, "check %-8s %-7s %d made, %d failed\n", c.Name, status, c.Made, c.Failed)
 	}
 	for _, v := range r.Violations {
 		fmt.Fprintf(out, "  %s: job %s: %s\n", v.Check, v.Job, v.Detail)
--- a/transport/loadgen/report.go
+++ b/transport/loadgen/report.go
@@ -29,16 +29,16 @@
 	// Outcomes tells of all jobs, by reason.
 	Outcomes []OutcomeCount `json:"outcomes"`
 	// Response and Ideal are in milliseconds, Ratio is response over ideal.
-	Response Figures `json:"response_ms"`
-	Ideal    Figures `json:"ideal_ms"`
-	Ratio    Figures `json:"response_over_ideal"`
+	Response Summary `json:"response_ms"`
+	Ideal    Summary `json:"ideal_ms"`
+	Ratio    Summary `json:"response_over_ideal"`
 	// OverPacked is response over what an all-knowing queue would give, and
 	// LostToPacked the difference in milliseconds, zero where it is negative.
-	OverPacked   Figures `json:"response_over_packed"`
-	LostToPacked Figures `json:"lost_to_packed_ms"`
+	OverPacked   Summary `json:"response_over_packed"`
+	LostToPacked Summary `json:"lost_to_packed_ms"`
 	// SendLag is by how much calls left later than they were due, in
 	// milliseconds. A large one says that the load tool is the bottleneck.
-	SendLag Figures `json:"send_lag_ms"`
+	SendLag Summary `json:"send_lag_ms"`
 	// CompleteTasks are those of complete jobs.
 	CompleteTasks int           `json:"complete_tasks"`
 	Resubmissions Resubmissions `json:"resubmissions"`
@@ -75,25 +75,25 @@
 	return !slices.ContainsFunc(r.Checks, func(c Check) bool { return c.Failed > 0 })
 }
 
-func newReport(l *traffic) *Report {
+func newReport(l *loadRun) *Report {
 	size, records := l.size, l.records
 	r := &Report{
 		Config: *l.config, Agents: size.agents, Slots: size.slots, FreeSlots: size.free,
-		RoundTrip: Duration(size.trip), Jobs: len(l.jobs),
+		RoundTrip: Duration(size.roundTrip), Jobs: len(l.jobs),
 	}
-	queue := packed(l.jobs, size.slots)
+	packedTimes := packedResponses(l.jobs, size.slots)
 	checks := newChecker()
 	work := time.Duration(0)
-	var sums summaries
+	var hists histograms
 	for i := range records {
 		rec := &records[i]
-		checks.job(rec)
-		row := rec.row(size, queue[i])
+		checks.checkJob(rec)
+		row := rec.row(size, packedTimes[i])
 		r.Rows = append(r.Rows, row)
 		r.Tasks += len(rec.tasks)
 		work += rec.work()
-		r.Elapsed = max(r.Elapsed, Duration(max(rec.first.done, rec.second.done, rec.stop.done)))
-		sums.add(rec, &row)
+		r.Elapsed = max(r.Elapsed, Duration(max(rec.first.done, rec.second.done, rec.cancellation.done)))
+		hists.add(rec, &row)
 		if row.Outcome == state.Complete.String() {
 			r.CompleteTasks += row.Tasks
 		}
@@ -105,7 +105,7 @@
 	if r.Elapsed > 0 {
 		r.StartsPerSecond = float64(r.CompleteTasks) / r.Elapsed.D().Seconds()
 	}
-	sums.into(r)
+	hists.fillReport(r)
 	r.Checks = checks.checks()
 	r.Violations = append([]Violation{}, checks.violations...)
 	return r
@@ -114,7 +114,7 @@
 // row sums up a job. A job whose turn never came is reported as not sent.
 func (r *record) row(size systemSize, packed time.Duration) Row {
 	row := Row{
-		Due: Duration(r.at), Ideal: Duration(r.ideal(size)), Packed: Duration(packed),
+		Due: Duration(r.due), Ideal: Duration(r.idealResponse(size)), Packed: Duration(packed),
 		Tasks: len(r.tasks), Outcome: state.NotRun.String(), Reason: reasonNotSent, Settled: state.NotRun.String(),
 	}
 	if !r.first.made {
@@ -122,7 +122,7 @@
 	}
 	row.Response = Duration(r.first.response())
 	row.Outcome, row.Reason = r.first.outcome().String(), r.first.reason()
-	row.Settled = r.settled().String()
+	row.Settled = r.settledOutcome().String()
 	return row
 }
 
--- a/transport/loadgen/run.go
+++ b/transport/loadgen/run.go
@@ -33,14 +33,14 @@
 
 // record is a job and what came of it.
 type record struct {
-	planned
-	first  reply
-	second reply
-	stop   reply
+	plannedJob
+	first        reply
+	second       reply
+	cancellation reply
 	// waits says that the first submission was sent and has no answer.
-	waits atomic.Bool
+	awaitingAnswer atomic.Bool
 	// waved says that a step has cancelled it.
-	waved atomic.Bool
+	cancelledByStep atomic.Bool
 }
 
 // reply is what one call brought. Times are from the start of the run.
@@ -63,11 +63,11 @@
 }
 
 // traffic is one load of a plan on its way.
-type traffic struct {
+type loadRun struct {
 	config  *Config
 	entries []Caller
 	size    systemSize
-	jobs    []planned
+	jobs    []plannedJob
 	records []record
 }
 
@@ -76,76 +76,76 @@
 // the plan's length and patience are over; calls that are open then count as
 // unknown. An error means that no load was put on.
 func Measure(ctx context.Context, p *Plan, t Target) (*Measurement, error) {
-	if err := p.Check(); err != nil {
+	if err := p.Validate(); err != nil {
 		return nil, err
 	}
 	if len(t.Entries) != len(p.Loads) || len(t.Backends) != len(p.Backends) {
 		return nil, errors.New("the target isn't the plan's")
 	}
-	if err := reachable(ctx, t.Backends); err != nil {
+	if err := checkReachable(ctx, t.Backends); err != nil {
 		return nil, err
 	}
-	var loads []*traffic
+	var loads []*loadRun
 	for i := range p.Loads {
-		load, err := newTraffic(ctx, &p.Loads[i], t.Entries[i])
+		load, err := newLoadRun(ctx, &p.Loads[i], t.Entries[i])
 		if err != nil {
 			return nil, err
 		}
 		loads = append(loads, load)
 	}
-	limited, cancel := context.WithTimeout(ctx, p.length()+p.patience())
+	runCtx, cancel := context.WithTimeout(ctx, p.length()+p.patience())
 	defer cancel()
-	steps := newSteps(p, t, loads)
+	steps := newStepRunner(p, t, loads)
 	var events []event
 	for _, load := range loads {
 		events = append(events, load.events()...)
 	}
 	events = append(events, steps.events()...)
 	slices.SortStableFunc(events, func(a, b event) int { return cmp.Compare(a.due, b.due) })
-	elapsed := carryOut(limited, events)
+	elapsed := runEvents(runCtx, events)
 	m := newMeasurement(p, loads, elapsed)
 	m.Steps = steps.results()
 	m.Starts = countStarts(context.WithoutCancel(ctx), t.Backends, p, m.Loads)
-	m.finish()
+	m.setPassed()
 	return m, nil
 }
 
-func newTraffic(ctx context.Context, c *Config, entries []Caller) (*traffic, error) {
+func newLoadRun(ctx context.Context, c *Config, entries []Caller) (*loadRun, error) {
 	if len(entries) == 0 {
 		return nil, errors.New("no entry")
 	}
-	size, err := sizeOf(ctx, c.Service, entries[0])
+	size, err := measureSystem(ctx, c.Service, entries[0])
 	if err != nil {
 		return nil, err
 	}
-	l := &traffic{config: c, entries: entries, size: size, jobs: newPlan(c, size.slots)}
+	l := &loadRun{config: c, entries: entries, size: size, jobs: drawJobs(c, size.slots)}
 	l.records = make([]record, len(l.jobs))
 	for i := range l.jobs {
-		l.records[i].planned = l.jobs[i]
+		l.records[i].plannedJob = l.jobs[i]
 	}
 	return l, nil
 }
 
 // events returns every call of the load.
-func (l *traffic) events() []event {
+func (l *loadRun) events() []event {
 	var out []event
 	for i := range l.records {
 		r := &l.records[i]
 		s := r.submission(l.config)
-		here, there := l.entries[i%len(l.entries)], l.entries[(i+1)%len(l.entries)]
+		entry, otherEntry := l.entries[i%len(l.entries)], l.entries[(i+1)%len(l.entries)]
 		submit := func(to Caller) call {
 			return func(ctx context.Context) (api.Answer, *httpclient.Failure) { return to.Submit(ctx, s) }
 		}
-		out = append(out, event{r.at, func(ctx context.Context, begin time.Time) {
-			r.waits.Store(true)
-			r.first.make(ctx, begin, r.at, submit(here))
-			r.waits.Store(false)
+		out = append(out, event{r.due, func(ctx context.Context, begin time.Time) {
+			r.awaitingAnswer.Store(true)
+			r.first.do(ctx, begin, r.due, submit(entry))
+			r.awaitingAnswer.Store(false)
 		}})
-		if r.again > 0 {
-			out = append(out, r.second.event(r.again, submit(there)))
+		if r.resubmitAt > 0 {
+			out = append(out, r.second.event(r.resubmitAt, submit(otherEntry)))
 		}
-		if r.cancel > 0 {
-			out = append(out, r.stop.event(r.cancel, l.cancelCall(i)))
+		if r.cancelAt > 0 {
+			out = append(out, r.cancellation.event(r.cancelAt, l.cancelCall(i)))
 		}
 	}
 	return out
@@ -153,16 +153,16 @@
 
 // cancelCall cancels a job through the entry that it wasn't sent to, where there
 // is another.
-func (l *traffic) cancelCall(i int) call {
-	there := l.entries[(i+1)%len(l.entries)]
+func (l *loadRun) cancelCall(i int) call {
+	otherEntry := l.entries[(i+1)%len(l.entries)]
 	key := state.JobKey{Service: l.config.Service, ID: l.records[i].id}
-	return func(ctx context.Context) (api.Answer, *httpclient.Failure) { return there.Cancel(ctx, key) }
+	return func(ctx context.Context) (api.Answer, *httpclient.Failure) { return otherEntry.Cancel(ctx, key) }
 }
 
 // carryOut does everything when it is due, whatever became of what was before,
 // and returns when all has ended and how long that took. What is due after ctx
 // has ended is not done.
-func carryOut(ctx context.Context, events []event) time.Duration {
+func runEvents(ctx context.Context, events []event) time.Duration {
 	begin := time.Now()
 	var wg conc.WaitGroup
 	for i := range events {
@@ -177,10 +177,10 @@
 }
 
 func (r *reply) event(due time.Duration, c call) event {
-	return event{due, func(ctx context.Context, begin time.Time) { r.make(ctx, begin, due, c) }}
+	return event{due, func(ctx context.Context, begin time.Time) { r.do(ctx, begin, due, c) }}
 }
 
-func (r *reply) make(ctx context.Context, begin time.Time, due time.Duration, c call) {
+func (r *reply) do(ctx context.Context, begin time.Time, due time.Duration, c call) {
 	r.made = true
 	r.due = due
 	r.sent = time.Since(begin)
--- a/transport/loadgen/run_test.go
+++ b/transport/loadgen/run_test.go
@@ -35,9 +35,9 @@
 // fakeEntry answers after the longest task of a job, and not before stalled.
 // Bend changes the answer to the nth submission of a job, from 0.
 type fakeEntry struct {
-	stalled time.Time
-	hang    bool
-	bend    func(id string, n int, a *api.Answer) *httpclient.Failure
+	stalledUntil time.Time
+	hang         bool
+	corrupt      func(id string, n int, a *api.Answer) *httpclient.Failure
 
 	mu   sync.Mutex
 	seen map[string]int // guarded by mu
@@ -58,8 +58,8 @@
 }
 
 func (e *fakeEntry) Submit(ctx context.Context, s api.Submission) (api.Answer, *httpclient.Failure) {
-	a, longest := answerTo(s.Job.Key.ID, s.Job.Tasks)
-	wait := max(longest, time.Until(e.stalled))
+	a, longest := correctAnswer(s.Job.Key.ID, s.Job.Tasks)
+	wait := max(longest, time.Until(e.stalledUntil))
 	if e.hang {
 		wait = time.Hour
 	}
@@ -73,14 +73,14 @@
 	}
 	n := e.seen[a.ID]
 	e.seen[a.ID]++
-	if e.bend == nil {
+	if e.corrupt == nil {
 		return a, nil
 	}
-	return a, e.bend(a.ID, n, &a)
+	return a, e.corrupt(a.ID, n, &a)
 }
 
-// answerTo is what a right entry answers.
-func answerTo(id string, tasks []state.Task) (api.Answer, time.Duration) {
+// correctAnswer is what a right entry answers.
+func correctAnswer(id string, tasks []state.Task) (api.Answer, time.Duration) {
 	a := api.Answer{ID: id, Outcome: api.Outcome(state.Complete), Stats: &api.Stats{}}
 	longest := time.Duration(0)
 	for _, t := range tasks {
@@ -106,10 +106,10 @@
 	return m.Loads[0], nil
 }
 
-// alone is a measurement of one load.
-func alone(r *Report) *Measurement {
+// singleLoadMeasurement is a measurement of one load.
+func singleLoadMeasurement(r *Report) *Measurement {
 	m := &Measurement{Format: reportFormat, Plan: &Plan{Loads: []Config{r.Config}}, Loads: []*Report{r}}
-	m.finish()
+	m.setPassed()
 	return m
 }
 
@@ -138,12 +138,12 @@
 // that waits for an answer before it sends again would send one job in that
 // time, and its median would hide the stall. Here every job that was due
 // meanwhile must show its own wait.
-func TestStallShowsInEveryJobThatWasDue(t *testing.T) {
+func TestStallCountsForEveryJobDueDuringIt(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
 	synctest.Test(t, func(t *testing.T) {
 		stall := 3 * time.Second
-		r, err := measureOne(context.Background(), c, &fakeEntry{stalled: time.Now().Add(stall)})
+		r, err := measureOne(context.Background(), c, &fakeEntry{stalledUntil: time.Now().Add(stall)})
 		is.NoErr(err)
 		waited := 0
 		for _, row := range r.Rows {
@@ -162,7 +162,7 @@
 
 // An entry never answers. The run must end all the same, and the jobs count as
 // unknown and not as missing.
-func TestHangingEntryEndsWithTheRun(t *testing.T) {
+func TestRunEndsThoughEntryNeverAnswers(t *testing.T) {
 	is := is.New(t)
 	r := run(t, testConfig(t), &fakeEntry{hang: true})
 	is.Equal(r.Elapsed.D(), 15*time.Second)
--- a/transport/loadgen/size.go
+++ b/transport/loadgen/sizes.go
@@ -21,8 +21,8 @@
 
 // sizeRange is from least to most, each alike often.
 type sizeRange struct {
-	least, most int
-	share       float64
+	min, max int
+	share    float64
 }
 
 // ParseSizes reads how many tasks a job has: "N", "N-M", a list of either with
@@ -50,25 +50,25 @@
 
 func parseSizeRange(item string) (sizeRange, error) {
 	r := sizeRange{share: 1}
-	bounds, share, shared := strings.Cut(item, "=")
-	if shared {
+	bounds, share, hasShare := strings.Cut(item, "=")
+	if hasShare {
 		var err error
 		if r.share, err = strconv.ParseFloat(share, 64); err != nil || !(r.share > 0) || r.share > 1 {
 			return r, errors.Errorf("%q is no share from 0 to 1", share)
 		}
 	}
-	least, most, ranged := strings.Cut(bounds, "-")
-	if !ranged {
-		most = least
+	minText, maxText, isRange := strings.Cut(bounds, "-")
+	if !isRange {
+		maxText = minText
 	}
 	var err error
-	if r.least, err = strconv.Atoi(least); err != nil {
-		return r, errors.Errorf("%q is no number", least)
+	if r.min, err = strconv.Atoi(minText); err != nil {
+		return r, errors.Errorf("%q is no number", minText)
 	}
-	if r.most, err = strconv.Atoi(most); err != nil {
-		return r, errors.Errorf("%q is no number", most)
+	if r.max, err = strconv.Atoi(maxText); err != nil {
+		return r, errors.Errorf("%q is no number", maxText)
 	}
-	if r.least < 1 || r.most < r.least || r.most > state.MaxTasksPerJob {
+	if r.min < 1 || r.max < r.min || r.max > state.MaxTasksPerJob {
 		return r, errors.Errorf("a job has 1 to %d tasks", state.MaxTasksPerJob)
 	}
 	return r, nil
@@ -78,7 +78,7 @@
 func (s Sizes) Mean() float64 {
 	mean := 0.0
 	for _, r := range s.ranges {
-		mean += r.share * float64(r.least+r.most) / 2
+		mean += r.share * float64(r.min+r.max) / 2
 	}
 	return mean
 }
@@ -93,5 +93,5 @@
 		}
 		x -= candidate.share
 	}
-	return r.least + rng.IntN(r.most-r.least+1)
+	return r.min + rng.IntN(r.max-r.min+1)
 }
--- a/transport/loadgen/starts_test.go
+++ b/transport/loadgen/starts_test.go
@@ -11,7 +11,7 @@
 // Callers are told one thing and the backend servers started another: a task
 // twice on two of them, none for a complete job, one for a job that is "not
 // run". Each must be found, and nothing in a run where all agrees.
-func TestStartsAreHeldAgainstAnswers(t *testing.T) {
+func TestStartsAreComparedWithAnswers(t *testing.T) {
 	is := is.New(t)
 	complete, notRun, unknown := state.Complete.String(), state.NotRun.String(), state.Unknown.String()
 	r := &Report{Config: Config{Service: "bench-desk", Run: "r"}, Rows: []Row{
@@ -19,14 +19,14 @@
 		{Tasks: 1, Outcome: notRun, Settled: notRun},
 		{Tasks: 1, Outcome: unknown, Settled: unknown},
 	}}
-	task := func(job, index int) TaskName {
-		return TaskName{Job: state.JobKey{Service: "bench-desk", ID: r.JobID(job)}, Index: index}
+	task := func(job, index int) TaskKey {
+		return TaskKey{Job: state.JobKey{Service: "bench-desk", ID: r.JobID(job)}, Index: index}
 	}
-	counts := func(change TaskName, n int) map[state.JobKey]map[TaskName]int {
-		out := make(map[state.JobKey]map[TaskName]int)
-		for _, t := range []TaskName{task(0, 0), task(0, 1), task(2, 0), change} {
+	counts := func(change TaskKey, n int) map[state.JobKey]map[TaskKey]int {
+		out := make(map[state.JobKey]map[TaskKey]int)
+		for _, t := range []TaskKey{task(0, 0), task(0, 1), task(2, 0), change} {
 			if out[t.Job] == nil {
-				out[t.Job] = make(map[TaskName]int)
+				out[t.Job] = make(map[TaskKey]int)
 			}
 			out[t.Job][t] = 1
 		}
@@ -40,7 +40,7 @@
 	got.compare(counts(task(0, 0), 1), r)
 	is.Equal(got, Starts{Tasks: 3})
 	for _, c := range []struct {
-		key  TaskName
+		key  TaskKey
 		n    int
 		want Starts
 	}{
@@ -51,6 +51,6 @@
 		got.compare(counts(c.key, c.n), r)
 		is.Equal([]int{got.Doubled, got.Lost, got.NotRun}, []int{c.want.Doubled, c.want.Lost, c.want.NotRun})
 		is.Equal(got.Failed(), 1)
-		is.Equal(len(got.Faults), 1)
+		is.Equal(len(got.Discrepancies), 1)
 	}
 }
--- a/transport/loadgen/steps.go
+++ b/transport/loadgen/steps.go
@@ -12,7 +12,7 @@
 )
 
 // healLimit bounds the call that ends a fault, also when the run was stopped.
-const healLimit = 10 * time.Second
+const clearFaultTimeout = 10 * time.Second
 
 // StepResult is what came of a step.
 type StepResult struct {
@@ -25,56 +25,56 @@
 
 // steps carries out the steps of a plan. Each result is written by its own
 // event and read when all have ended.
-type steps struct {
-	target Target
-	loads  []*traffic
-	done   []StepResult
+type stepRunner struct {
+	target      Target
+	loads       []*loadRun
+	stepResults []StepResult
 }
 
-func newSteps(p *Plan, t Target, loads []*traffic) *steps {
-	s := &steps{target: t, loads: loads}
+func newStepRunner(p *Plan, t Target, loads []*loadRun) *stepRunner {
+	s := &stepRunner{target: t, loads: loads}
 	for _, step := range p.Steps {
-		s.done = append(s.done, StepResult{Step: step, Failure: "not reached"})
+		s.stepResults = append(s.stepResults, StepResult{Step: step, Failure: "not reached"})
 	}
 	return s
 }
 
-func (s *steps) events() []event {
+func (s *stepRunner) events() []event {
 	var out []event
-	for i := range s.done {
-		r := &s.done[i]
+	for i := range s.stepResults {
+		r := &s.stepResults[i]
 		out = append(out, event{r.Step.At.D(), func(ctx context.Context, begin time.Time) {
 			r.Failure = ""
-			s.carryOut(ctx, begin, r)
+			s.execute(ctx, begin, r)
 		}})
 	}
 	return out
 }
 
-func (s *steps) results() []StepResult { return s.done }
+func (s *stepRunner) results() []StepResult { return s.stepResults }
 
-func (s *steps) carryOut(ctx context.Context, begin time.Time, r *StepResult) {
+func (s *stepRunner) execute(ctx context.Context, begin time.Time, r *StepResult) {
 	switch {
 	case r.Step.CancelInFlight:
 		r.Detail = fmt.Sprintf("%d jobs cancelled", s.cancelInFlight(ctx, begin, r.Step.At.D()))
 	default:
-		s.fault(ctx, r)
+		s.injectFault(ctx, r)
 	}
 }
 
 // cancelInFlight cancels all jobs that wait for their answers at once and
 // returns how many that were. One that is cancelled anyway is left alone.
-func (s *steps) cancelInFlight(ctx context.Context, begin time.Time, due time.Duration) int {
+func (s *stepRunner) cancelInFlight(ctx context.Context, begin time.Time, due time.Duration) int {
 	var wg conc.WaitGroup
 	n := 0
 	for _, l := range s.loads {
 		for i := range l.records {
 			r := &l.records[i]
-			if r.cancel > 0 || !r.waits.Load() || !r.waved.CompareAndSwap(false, true) {
+			if r.cancelAt > 0 || !r.awaitingAnswer.Load() || !r.cancelledByStep.CompareAndSwap(false, true) {
 				continue
 			}
 			n++
-			wg.Go(func() { r.stop.make(ctx, begin, due, l.cancelCall(i)) })
+			wg.Go(func() { r.cancellation.do(ctx, begin, due, l.cancelCall(i)) })
 		}
 	}
 	wg.Wait()
@@ -83,16 +83,16 @@
 
 // fault makes a stand-in fail for a while. It is healed also when the run was
 // stopped meanwhile.
-func (s *steps) fault(ctx context.Context, r *StepResult) {
+func (s *stepRunner) injectFault(ctx context.Context, r *StepResult) {
 	b := s.target.Backends[r.Step.Backend-1]
-	if err := b.SetFaults(ctx, faults[r.Step.Fault]); err != nil {
+	if err := b.SetFaults(ctx, standinFaults[r.Step.Fault]); err != nil {
 		r.Failure = err.Error()
 		return
 	}
 	_ = pause.For(ctx, r.Step.For.D())
-	heal, cancel := context.WithTimeout(context.WithoutCancel(ctx), healLimit)
+	clearCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), clearFaultTimeout)
 	defer cancel()
-	if err := b.SetFaults(heal, standin.Faults{}); err != nil {
+	if err := b.SetFaults(clearCtx, standin.Faults{}); err != nil {
 		r.Failure = "the fault stays: " + err.Error()
 		return
 	}
--- a/transport/loadgen/steps_test.go
+++ b/transport/loadgen/steps_test.go
@@ -13,25 +13,25 @@
 	"github.com/shallotstep/shallotstep/protocol/standin"
 )
 
-// fakeSystem has one stand-in that notes its faults, or doesn't take them.
-type fakeSystem struct {
-	begin    time.Time
-	counts   map[TaskName]int
-	deaf     bool
-	broken   bool
-	mu       sync.Mutex
-	faultLog []string // guarded by mu
+// fakeBackend has one stand-in that notes its faults, or doesn't take them.
+type fakeBackend struct {
+	begin         time.Time
+	counts        map[TaskKey]int
+	countsFail    bool
+	rejectsFaults bool
+	mu            sync.Mutex
+	faultLog      []string // guarded by mu
 }
 
-func (s *fakeSystem) Starts(context.Context, string) (map[TaskName]int, error) {
-	if s.deaf && time.Since(s.begin) > time.Second {
+func (s *fakeBackend) Starts(context.Context, string) (map[TaskKey]int, error) {
+	if s.countsFail && time.Since(s.begin) > time.Second {
 		return nil, errors.New("gone")
 	}
 	return s.counts, nil
 }
 
-func (s *fakeSystem) SetFaults(_ context.Context, f standin.Faults) error {
-	if s.broken {
+func (s *fakeBackend) SetFaults(_ context.Context, f standin.Faults) error {
+	if s.rejectsFaults {
 		return errors.New("takes no faults")
 	}
 	s.mu.Lock()
@@ -44,7 +44,7 @@
 	return nil
 }
 
-func measurePlan(t *testing.T, p *Plan, s *fakeSystem, entry Caller) *Measurement {
+func measurePlan(t *testing.T, p *Plan, s *fakeBackend, entry Caller) *Measurement {
 	t.Helper()
 	var m *Measurement
 	synctest.Test(t, func(t *testing.T) {
@@ -65,11 +65,11 @@
 // A wave cancels what waits at its moment, and neither what has been answered
 // nor what comes later. The fake entry says "cancelled" and answers all the
 // same, so that each job of the wave shows as one failed check.
-func TestWaveCancelsWhatIsInFlight(t *testing.T) {
+func TestCancelInFlightStepCancelsWaitingJobs(t *testing.T) {
 	is := is.New(t)
 	at := 2 * time.Second
 	p := testPlan(t, Step{At: Duration(at), CancelInFlight: true})
-	m := measurePlan(t, p, &fakeSystem{}, &fakeEntry{})
+	m := measurePlan(t, p, &fakeBackend{}, &fakeEntry{})
 	want := 0
 	for _, row := range m.Loads[0].Rows {
 		if row.Due.D() < at && row.Due.D()+row.Response.D() > at {
@@ -86,15 +86,15 @@
 func TestStepsThatFailFailTheRun(t *testing.T) {
 	is := is.New(t)
 	fault := Step{At: Duration(time.Second), Fault: FaultFailAll, Backend: 1, For: Duration(2 * time.Second)}
-	for _, broken := range []bool{false, true} {
+	for _, rejects := range []bool{false, true} {
 		p := testPlan(t, fault)
 		// Nothing arrives that the counts would have to agree with.
 		p.Loads[0].Phases = []Phase{{For: p.Loads[0].Length, Rate: 0}}
-		s := &fakeSystem{broken: broken}
+		s := &fakeBackend{rejectsFaults: rejects}
 		m := measurePlan(t, p, s, &fakeEntry{})
-		is.Equal(m.Passed, !broken)
-		is.Equal(m.Steps[0].Failure == "", !broken)
-		if !broken {
+		is.Equal(m.Passed, !rejects)
+		is.Equal(m.Steps[0].Failure == "", !rejects)
+		if !rejects {
 			is.Equal(s.faultLog, []string{"1s fail_all", "3s healthy"})
 		}
 	}
@@ -104,10 +104,10 @@
 // be read decide nothing: such a run has not passed.
 func TestLostTasksAndMissingCountsFailTheRun(t *testing.T) {
 	is := is.New(t)
-	m := measurePlan(t, testPlan(t), &fakeSystem{}, &fakeEntry{})
+	m := measurePlan(t, testPlan(t), &fakeBackend{}, &fakeEntry{})
 	is.True(!m.Passed)
 	is.Equal(m.Starts.Lost, m.Loads[0].Tasks) // all complete, none started
-	m = measurePlan(t, testPlan(t), &fakeSystem{deaf: true}, &fakeEntry{})
+	m = measurePlan(t, testPlan(t), &fakeBackend{countsFail: true}, &fakeEntry{})
 	is.True(!m.Passed && !m.Starts.Counted)
 	is.Equal(m.Starts.Failure, "backend server 1: gone")
 }
--- a/transport/loadgen/target.go
+++ b/transport/loadgen/systemsize.go
@@ -13,13 +13,13 @@
 const (
 	// roundTrips are those that a job can't do without: caller and entry, entry
 	// and owner, owner and store, owner and agent, agent and backend server.
-	roundTrips = 5
+	minRoundTrips = 5
 	// probes is how many calls the round trip is taken from, the shortest of them.
-	probes = 10
+	roundTripProbes = 10
 	// settleLimit is how long slots that are still taken are waited for, and
 	// settleEvery how often they are looked at.
-	settleLimit = 5 * time.Second
-	settleEvery = 100 * time.Millisecond
+	freeSlotsTimeout      = 5 * time.Second
+	freeSlotsPollInterval = 100 * time.Millisecond
 )
 
 // systemSize is how large the system is, by an entry's status before the run. A
@@ -27,12 +27,12 @@
 type systemSize struct {
 	agents, slots, free int
 	// trip is the shortest round trip between caller and entry.
-	trip time.Duration
+	roundTrip time.Duration
 }
 
 // sizeOf adds up the agents that serve the service. A load shows free slots late,
 // so slots that an earlier run held are waited for a while.
-func sizeOf(ctx context.Context, service string, entry Caller) (systemSize, error) {
+func measureSystem(ctx context.Context, service string, entry Caller) (systemSize, error) {
 	var size systemSize
 	for begin := time.Now(); ; {
 		doc, f := entry.Status(ctx)
@@ -43,12 +43,12 @@
 		if size.slots == 0 {
 			return size, errors.Errorf("the entry knows no slot of service %q", service)
 		}
-		if size.free >= size.slots || time.Since(begin) >= settleLimit || pause.For(ctx, settleEvery) != nil {
+		if size.free >= size.slots || time.Since(begin) >= freeSlotsTimeout || pause.For(ctx, freeSlotsPollInterval) != nil {
 			break
 		}
 	}
 	var err error
-	size.trip, err = roundTrip(ctx, entry)
+	size.roundTrip, err = measureRoundTrip(ctx, entry)
 	return size, err
 }
 
@@ -65,9 +65,9 @@
 	return size
 }
 
-func roundTrip(ctx context.Context, entry Caller) (time.Duration, error) {
+func measureRoundTrip(ctx context.Context, entry Caller) (time.Duration, error) {
 	shortest := time.Duration(0)
-	for i := range probes {
+	for i := range roundTripProbes {
 		begin := time.Now()
 		if _, f := entry.Status(ctx); f != nil {
 			return 0, errors.Errorf("the entry's status: %s", f)
