--- a/transport/loadgen/check.go
+++ b/transport/loadgen/check.go
@@ -11,32 +11,37 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// CheckName names a check on answers.
+// CheckName identifies a check on answers.
 type CheckName string
 
-// The checks.
+// The checks on answers.
 const (
-	// CheckReadable: a reply that arrived is a JSON document.
+	// CheckReadable verifies that each reply that arrived is a JSON document.
 	CheckReadable CheckName = "readable"
-	// CheckWhole: a 200 holds one result for each task.
+	// CheckWhole verifies that each answer with status 200 is complete and has
+	// one result for each task.
 	CheckWhole CheckName = "whole"
-	// CheckOwn: an answer and each of its results belong to this request.
+	// CheckOwn verifies that an answer and each of its results belong to the
+	// request.
 	CheckOwn CheckName = "own"
-	// CheckSame: both submissions under one id are told the same.
+	// CheckSame verifies that two submissions with the same id get the same
+	// outcome and results.
 	CheckSame CheckName = "same"
-	// CheckNotRun: no id is "not run" that another answer says ran, unless the
-	// submission that ran was sent after the "not run" had come.
+	// CheckNotRun verifies that no job is "not run" by one answer and has run
+	// by the other, unless the submission that ran was sent after the "not run"
+	// had been received.
 	CheckNotRun CheckName = "not_run"
-	// CheckCancel: no job is both cancelled and complete.
+	// CheckCancel verifies that no job is both cancelled and complete.
 	CheckCancel CheckName = "cancel"
 )
 
 var checkNames = []CheckName{CheckReadable, CheckWhole, CheckOwn, CheckSame, CheckNotRun, CheckCancel}
 
-// maxViolations bounds how many violations a report spells out.
+// maxViolations is the maximum number of violations that a report lists. The
+// counts in Check include the others.
 const maxViolations = 20
 
-// Check counts how often a check was made and how often it failed.
+// Check is the number of times that a check was made and that it failed.
 type Check struct {
 	Name   CheckName `json:"name"`
 	Made   int       `json:"made"`
@@ -50,7 +55,7 @@
 	Detail string    `json:"detail"`
 }
 
-// checker makes the checks on the answers of a run.
+// checker checks the answers to one load and counts the results.
 type checker struct {
 	counts     map[CheckName]*Check
 	violations []Violation
@@ -64,7 +69,8 @@
 	return c
 }
 
-// expect makes one check.
+// expect counts one check. If holds is false, it also counts a failure and adds
+// a violation with the formatted detail.
 func (c *checker) expect(name CheckName, job string, holds bool, format string, args ...any) {
 	c.counts[name].Made++
 	if holds {
@@ -84,7 +90,7 @@
 	return out
 }
 
-// job checks everything that the callers of one job were told.
+// checkJob makes all checks on the answers about one job.
 func (c *checker) checkJob(r *record) {
 	c.checkSubmission(r, &r.first)
 	c.checkSubmission(r, &r.second)
@@ -92,8 +98,9 @@
 	c.checkCancellation(r)
 }
 
-// submission checks one answer by itself. The client takes an answer that isn't
-// whole for a lost one; here it counts as what it is.
+// checkSubmission checks one answer on its own. The client reports an incomplete
+// answer as a failure; if such an answer has content, it is checked all the same,
+// so that it counts as a fault of the entry and not as a lost reply.
 func (c *checker) checkSubmission(r *record, p *reply) {
 	if !p.made {
 		return
@@ -114,8 +121,8 @@
 	}
 }
 
-// unreadable tells a reply that arrived and makes no sense from one that broke
-// off on the way, which is no fault of the entry's.
+// unreadable reports whether a reply arrived but is not a valid JSON document. It
+// is false if the connection failed, which is not a fault of the entry.
 func unreadable(p *reply) bool {
 	if p.failure == nil || p.failure.Err == nil {
 		return false
@@ -125,8 +132,8 @@
 	return errors.As(p.failure.Err, &syntaxErr) || errors.As(p.failure.Err, &typeErr)
 }
 
-// pair checks the answers to two submissions under one id against each other.
-// A reply of unknown outcome agrees with any other.
+// checkResubmission compares the answers to two submissions with the same id. An
+// unknown outcome is consistent with any other.
 func (c *checker) checkResubmission(r *record) {
 	if !r.first.made || !r.second.made {
 		return
@@ -144,13 +151,15 @@
 	c.expect(CheckSame, r.id, same, "one caller is told %s, the other %s", r.first.describe(), r.second.describe())
 }
 
-// anew says that the second submission was sent after the first one was known
-// to have not run. It may run then: the refusal spoke of the first one.
+// resubmittedAfterNotRun reports whether the second submission was sent after the
+// first had been answered with "not run". The job may run then, because that
+// answer covers only the first submission.
 func (r *record) resubmittedAfterNotRun() bool {
 	return r.second.made && r.first.outcome() == state.NotRun && r.second.sent >= r.first.done
 }
 
-// settled is what holds of the id in the end.
+// settledOutcome returns the final outcome of the job's id: that of the second
+// submission if it was sent after the first had not run, else that of the first.
 func (r *record) settledOutcome() state.Outcome {
 	if r.resubmittedAfterNotRun() {
 		return r.second.outcome()
@@ -170,8 +179,8 @@
 	return true
 }
 
-// cancellation checks that a job which is cancelled for one caller isn't
-// complete for the other.
+// checkCancellation checks that a job that was cancelled by one call is not
+// complete in the answer to the first submission.
 func (c *checker) checkCancellation(r *record) {
 	if !r.cancellation.made || !r.first.made {
 		return
@@ -184,7 +193,8 @@
 	return p.made && p.failure == nil && p.answer.Reason == state.ReasonCancelled
 }
 
-// told is the outcome with its reason and when it came.
+// describe returns the outcome, its reason and the times of the call for the
+// detail of a violation.
 func (r *reply) describe() string {
 	text := r.outcome().String()
 	if reason := r.reason(); reason != "" {
@@ -193,14 +203,18 @@
 	return fmt.Sprintf("%s at %.1f ms, sent at %.1f ms", text, milliseconds(r.done), milliseconds(r.sent))
 }
 
-// The reasons of failures that are the client's own.
+// The reasons of failures that the client detects without an answer.
 const (
-	reasonNotSent    state.Reason = "client_not_sent"
-	reasonLost       state.Reason = "client_lost"
+	// reasonNotSent means that the call was not made or did not leave the client.
+	reasonNotSent state.Reason = "client_not_sent"
+	// reasonLost means that the call was sent and the answer was lost.
+	reasonLost state.Reason = "client_lost"
+	// reasonUnanswered means that there was no answer before the run ended.
 	reasonUnanswered state.Reason = "client_patience"
 )
 
-// reason is why the call brought no complete answer; empty when it did.
+// reason returns why the call got no complete answer, or an empty reason if it
+// got one.
 func (r *reply) reason() state.Reason {
 	f := r.failure
 	switch {
--- a/transport/loadgen/check_test.go
+++ b/transport/loadgen/check_test.go
@@ -27,13 +27,13 @@
 	is.Equal(r.check(CheckSame), Check{CheckSame, r.Resubmissions.Sent, 0})
 	is.Equal(r.check(CheckWhole).Made, r.Jobs+r.Resubmissions.Sent)
 	is.Equal(r.check(CheckCancel).Made, 0)
-	is.Equal([]int{r.Agents, r.Slots}, []int{1, 8}) // those that take no work and foreign ones don't count
+	is.Equal([]int{r.Agents, r.Slots}, []int{1, 8}) // agents that accept no work and those of other services don't count
 	is.Equal(r.Ratio.Max, 1.0)
 }
 
-// Entries that mix up, cut or double what they answer, each in its own way. The
-// client refuses some of these answers by itself; the report must still say
-// that the entry sent them, and the run must not pass.
+// Each entry truncates, duplicates or mixes up its answers in a different way. The
+// client rejects some of these answers itself; the report must still show that the
+// entry sent them, and the run must not pass.
 func TestIncorrectAnswersFailTheChecks(t *testing.T) {
 	refused := func(outcome state.Outcome) *httpclient.Failure {
 		return &httpclient.Failure{Outcome: outcome, Problem: api.NewProblem(state.ReasonBusy, outcome, "")}
@@ -95,9 +95,9 @@
 	}
 }
 
-// An entry refuses every first submission as not run and runs every second one.
-// Where the second was sent after the refusal had come that is how it should be;
-// where it was on its way before, two callers are told two things of one id.
+// An entry answers every first submission with "not run" and runs every second one.
+// That is correct if the second submission was sent after the first was answered.
+// If it was sent before, the two answers about the same id contradict each other.
 func TestNotRunCoversOnlyEarlierSubmissions(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
@@ -121,8 +121,8 @@
 	is.Equal(r.check(CheckNotRun), Check{CheckNotRun, r.Jobs, r.Jobs - runAfterNotRun})
 }
 
-// The entry tells one caller that the job is cancelled and the other that it is
-// complete.
+// The entry answers a cancellation with "cancelled" and the submission of the same
+// job with "complete". The check must fail for each such job.
 func TestCancelledAndCompleteIsCaught(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
@@ -133,8 +133,8 @@
 	is.True(!r.Passed())
 }
 
-// A second submission whose outcome the caller doesn't know agrees with any
-// first one, and a reply that broke off on the way is no fault of the entry's.
+// A second submission with an unknown outcome is consistent with any first answer,
+// and a reply that is lost on the way is not a fault of the entry.
 func TestUnknownOutcomeMatchesAnyOther(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
@@ -151,8 +151,8 @@
 	is.Equal(r.Resubmissions.Compared, 0)
 }
 
-// Over real HTTP, a reply with a status of 200 that is no JSON document was
-// truncated or mixed up by the entry.
+// Over HTTP, an entry answers with status 200 and a truncated JSON document. The
+// check must count it as a fault of the entry and not as a lost reply.
 func TestUnreadableReplyIsCaught(t *testing.T) {
 	is := is.New(t)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
--- a/transport/loadgen/compare.go
+++ b/transport/loadgen/compare.go
@@ -12,15 +12,15 @@
 	displayRounding = 10 * time.Millisecond
 )
 
-// Difference is one figure of two reports.
+// Difference is the value of one metric in two reports.
 type Difference struct {
 	Name   string  `json:"name"`
 	Before float64 `json:"before"`
 	After  float64 `json:"after"`
 }
 
-// Change returns the change in percent of Before, and whether there is any
-// Before to compare with.
+// Change returns the change in percent of Before. It returns false if Before is
+// zero.
 func (d Difference) Change() (float64, bool) {
 	if d.Before == 0 {
 		return 0, false
@@ -28,17 +28,17 @@
 	return percent * (d.After - d.Before) / d.Before, true
 }
 
-// Comparison sets two reports side by side.
+// Comparison is the result of comparing two reports.
 type Comparison struct {
-	// Unlike names what makes the two loads different. Where there is
-	// anything, the figures don't compare like with like.
+	// Mismatches lists the differences between the configurations and systems
+	// of the two reports. If there are any, the metrics are not comparable.
 	Mismatches  []string     `json:"unlike"`
 	Differences []Difference `json:"differences"`
-	// Passed says that no check failed in either report.
+	// Passed is true if both measurements passed.
 	Passed bool `json:"passed"`
 }
 
-// Compare sets two measurements side by side, load by load.
+// Compare compares two measurements load by load, in the order of their loads.
 func Compare(before, after *Measurement) Comparison {
 	c := Comparison{Mismatches: []string{}, Passed: before.Passed && after.Passed}
 	if len(before.Loads) != len(after.Loads) {
@@ -53,10 +53,11 @@
 	return c
 }
 
-// stepsText tells two plans' steps apart.
+// stepsText returns a text that is equal for two plans if their steps are equal.
 func stepsText(m *Measurement) string { return fmt.Sprintf("%+v", m.Plan.Steps) }
 
-// add compares one load; named says that its figures need its service's name.
+// add compares one load. If named is true, the names of its metrics begin with
+// its service.
 func (c *Comparison) add(before, after *Report, named bool) {
 	c.Mismatches = append(c.Mismatches, configMismatches(before, after)...)
 	add := func(name string, b, a float64) {
@@ -78,6 +79,8 @@
 	add("starts per second", before.StartsPerSecond, after.StartsPerSecond)
 }
 
+// configMismatches lists the settings and system sizes in which two reports
+// differ, each with both values.
 func configMismatches(before, after *Report) []string {
 	out := []string{}
 	addIfDifferent := func(name string, b, a any) {
@@ -102,7 +105,7 @@
 	return out
 }
 
-// Print writes the comparison for a person.
+// Print writes the comparison as text.
 func (c *Comparison) Print(out io.Writer) {
 	for _, mismatch := range c.Mismatches {
 		fmt.Fprintf(out, "not alike: %s\n", mismatch)
--- a/transport/loadgen/config.go
+++ b/transport/loadgen/config.go
@@ -1,10 +1,11 @@
-// Package loadgen puts a bounded load on entries and measures what comes back.
-// Arrivals are open loop: when a job is due is drawn before the run and no
-// answer moves it, and a response counts from that time. A stalled entry so
-// shows in every job that was due meanwhile, and not in one only.
+// Package loadgen generates a bounded load on entries and measures the responses.
+// The load is open-loop: the time at which each job is due is drawn before the
+// run and does not depend on answers, and response times are measured from that
+// time. A stalled entry therefore delays every job that is due during the stall,
+// and not just one (coordinated omission).
 //
-// Every answer is also checked: it is whole, it belongs to its request, and two
-// submissions under one id are told the same.
+// Every answer is also checked: it must be complete, belong to its request, and be
+// the same for two submissions with the same id.
 package loadgen
 
 import (
@@ -14,13 +15,13 @@
 	"github.com/pkg/errors"
 )
 
-// MaxLength is the longest run.
+// MaxLength is the maximum time in which the jobs of a run arrive.
 const MaxLength = 5 * time.Minute
 
-// MaxPatience is the longest wait for answers after a run.
+// MaxPatience is the maximum wait for answers after the time in which jobs arrive.
 const MaxPatience = 5 * time.Minute
 
-// Defaults of Config.
+// Defaults of a plan.
 const (
 	DefaultLength   = 30 * time.Second
 	DefaultPatience = 60 * time.Second
@@ -29,50 +30,56 @@
 	DefaultWork     = 200 * time.Millisecond
 )
 
-// maxJobs bounds the memory of a plan.
+// maxJobs is the maximum number of jobs in a run. It bounds the memory used.
 const maxJobs = 1_000_000
 
-// maxLoad bounds Load, far beyond where anything is served in time.
+// maxLoad is the maximum of Config.Load. At 10 times the capacity of the slots
+// hardly any job meets its deadline.
 const maxLoad = 10
 
-// Config says what load to put on the entries.
+// Config configures one load.
 type Config struct {
 	Service string `json:"service"`
-	// TasksPerSecond or JobsPerSecond is the mean rate of arrivals; Load is the
-	// work that arrives, as a share of what all slots do in Length. One of the
-	// three is set. The rates are means of a random number of jobs, Load is met
-	// to one job.
+	// Exactly one of TasksPerSecond, JobsPerSecond and Load is set. The first
+	// two are mean arrival rates; the number of jobs is random. Load is the
+	// total run time of the arriving tasks, as a share of the capacity of all
+	// slots during Length; it is exceeded by less than one job.
 	TasksPerSecond float64 `json:"tasks_per_second,omitempty"`
 	JobsPerSecond  float64 `json:"jobs_per_second,omitempty"`
 	Load           float64 `json:"load_share,omitempty"`
-	// Sizes draws the number of tasks of a job, Mix what a task does.
+	// Sizes is the distribution of the number of tasks per job, Mix that of the
+	// kinds and run times of tasks.
 	Sizes Sizes `json:"tasks_per_job"`
 	Mix   Mix   `json:"mix"`
 	// Length is the time in which jobs arrive.
 	Length Duration `json:"length_ms"`
-	// Patience is how long after Length answers are waited for.
+	// Patience is the time after Length during which the run waits for answers.
 	Patience Duration `json:"patience_ms"`
-	// Deadline is stated in each submission. Zero leaves it to the service.
+	// Deadline is sent with each submission. Zero means the service's default.
 	Deadline Duration `json:"deadline_ms,omitempty"`
-	// Seed decides arrivals, sizes and work; the same seed is the same load.
+	// Seed seeds the random arrivals, sizes and run times. The same seed gives
+	// the same load.
 	Seed uint64 `json:"seed"`
-	// Resubmit is the share of jobs that are submitted twice under one id, the
-	// second time through another entry where there is one. Cancel is the
-	// share that is cancelled. No job is in both.
+	// Resubmit is the share of jobs that are submitted twice with the same id,
+	// the second time through another entry if there is one. Cancel is the
+	// share of jobs that are cancelled. No job is both resubmitted and cancelled.
 	Resubmit float64 `json:"resubmit_share"`
 	Cancel   float64 `json:"cancel_share"`
-	// Phases change the rate of arrivals for a while; the rates and Load are
-	// those outside of them. They are in order and don't overlap.
+	// Phases change the arrival rate for a part of the run. The rates and Load
+	// apply outside of the phases. Phases are in order and don't overlap.
 	Phases []Phase `json:"phases,omitempty"`
-	// Stream tells the draws of one load of a plan from those of another.
+	// Stream selects the random stream of Seed, so that the loads of a plan are
+	// independent. It is the index of the load in the plan.
 	Stream uint64 `json:"stream,omitempty"`
-	// TokenFile holds the bearer token of the service's operator.
+	// TokenFile is the path of the file with the bearer token of the service's
+	// operator.
 	TokenFile string `json:"-"`
-	// Run begins each id, so that two runs never meet in one.
+	// Run is the name of the run and the prefix of each job's id. It keeps the
+	// ids of different runs distinct.
 	Run string `json:"run"`
 }
 
-// Check returns what is wrong with the configuration, or nil.
+// Validate returns an error if the configuration is not valid.
 func (c *Config) Validate() error {
 	if fieldErr := c.validateLoad(); fieldErr != nil {
 		return errors.New(fieldErr.msg)
@@ -95,8 +102,8 @@
 	return nil
 }
 
-// fault returns what is wrong with what one load has for itself, or nil. The
-// key is the plan file's.
+// validateLoad checks the settings that each load of a plan file has of its own.
+// The key of the error is the key in the load, or empty for several keys.
 func (c *Config) validateLoad() *fieldError {
 	switch {
 	case c.Service == "":
@@ -117,6 +124,8 @@
 	return nil
 }
 
+// hasOneRate reports whether exactly one of the rates and Load is above zero and
+// none is negative or NaN.
 func (c *Config) hasOneRate() bool {
 	set := 0
 	for _, v := range []float64{c.TasksPerSecond, c.JobsPerSecond, c.Load} {
@@ -130,7 +139,7 @@
 	return set == 1
 }
 
-// jobRate returns the mean number of jobs per second where a rate is given.
+// jobRate returns the mean number of jobs per second, or zero if Load is set.
 func (c *Config) jobRate() float64 {
 	if c.JobsPerSecond > 0 {
 		return c.JobsPerSecond
@@ -138,7 +147,7 @@
 	return c.TasksPerSecond / c.Sizes.Mean()
 }
 
-// Duration is a time.Duration that stands in JSON as milliseconds.
+// Duration is a time.Duration that is encoded in JSON as a number of milliseconds.
 type Duration time.Duration
 
 // D returns the duration.
--- a/transport/loadgen/counts.go
+++ b/transport/loadgen/counts.go
@@ -7,23 +7,28 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// Resubmissions counts jobs that were submitted twice. Compared are those of
-// which both callers learned the outcome.
+// Resubmissions counts jobs that were submitted twice.
 type Resubmissions struct {
-	Sent     int `json:"sent"`
+	Sent int `json:"sent"`
+	// Compared is the number of jobs for which neither outcome is unknown.
 	Compared int `json:"compared"`
-	// During is how many were sent before the first answer had come.
+	// During is the number of second submissions that were sent before the first
+	// one was answered.
 	During int `json:"during"`
 }
 
-// Cancellations counts jobs that were cancelled and what came of it.
+// Cancellations counts calls that cancel a job, by result.
 type Cancellations struct {
 	Sent      int `json:"sent"`
 	Cancelled int `json:"cancelled"`
-	TooLate   int `json:"too_late"`
-	Failed    int `json:"failed"`
+	// TooLate is the number of calls that were answered with another result of
+	// the job.
+	TooLate int `json:"too_late"`
+	// Failed is the number of calls that were refused or got no answer.
+	Failed int `json:"failed"`
 }
 
+// countOutcomes counts jobs by outcome and reason, the most frequent first.
 func countOutcomes(rows []Row) []OutcomeCount {
 	counts := make(map[OutcomeCount]int)
 	for i := range rows {
--- a/transport/loadgen/curves.go
+++ b/transport/loadgen/curves.go
@@ -11,22 +11,23 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// lineWidth is that of a curve.
+// lineWidth is the width of a curve.
 const lineWidth = 1.5 * vg.Millimeter / 3
 
-// legendRoom keeps the curves out of the legend: a decade above them.
+// legendHeadroom is the factor by which the y axis extends above the curves. One
+// decade keeps them clear of the legend.
 const legendHeadroom = 10
 
-// curve is one line of a plot with its points in the order of x.
+// curve is one line of a plot.
 type curve struct {
 	name   string
 	points plotter.XYs
 }
 
-// curves gathers points by the name of their line, in the order in which the
-// names come.
+// curves is a set of curves, in the order in which their names were first added.
 type curves []curve
 
+// add adds a point to the curve with this name.
 func (c *curves) add(name string, x, y float64) {
 	for i := range *c {
 		if (*c)[i].name == name {
@@ -37,7 +38,8 @@
 	*c = append(*c, curve{name, plotter.XYs{{X: x, Y: y}}})
 }
 
-// draw adds the curves to a plot, each with a colour and a mark of its own.
+// draw sorts the points of each curve by x and adds the curves to a plot, each
+// with its own colour and marker.
 func (c curves) draw(p *plot.Plot) error {
 	for i := range c {
 		sortByX(c[i].points)
@@ -53,8 +55,9 @@
 	return nil
 }
 
-// PlotLoads writes the response and the response over the ideal against the
-// load that was offered, from several measurements. Each service has its lines.
+// PlotLoads writes two plots over the offered load to one file, SVG or PNG by its
+// extension: the response time, and the response time divided by the ideal. Each
+// measurement is one point in the curves of its services.
 func PlotLoads(path string, all []*Measurement) error {
 	var response, ratio curves
 	for _, m := range all {
@@ -85,7 +88,7 @@
 	return savePlots(path, []*plot.Plot{first, second})
 }
 
-// newCurvePlot draws curves over a logarithmic y.
+// newCurvePlot returns a plot of the curves with a logarithmic y axis.
 func newCurvePlot(title, xLabel, yLabel string, c curves) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, xLabel, yLabel
@@ -100,7 +103,7 @@
 	return p, nil
 }
 
-// sortByX puts points in the order of their x.
+// sortByX sorts points by x.
 func sortByX(points plotter.XYs) {
 	slices.SortStableFunc(points, func(a, b plotter.XY) int { return cmp.Compare(a.X, b.X) })
 }
--- a/transport/loadgen/histogram.go
+++ b/transport/loadgen/histogram.go
@@ -6,7 +6,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Figures sum up a distribution.
+// Summary is the summary of a distribution. The unit depends on the field of the
+// report.
 type Summary struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean"`
@@ -17,8 +18,8 @@
 	Max   float64 `json:"max"`
 }
 
-// The resolution of the histograms: microseconds up to an hour, ratios in
-// thousandths up to a million, both to three digits.
+// The histograms have a resolution of three significant digits. They record times
+// in microseconds up to one hour and ratios in thousandths up to one million.
 const (
 	significantDigits   = 3
 	maxTimeMicros       = int64(time.Hour / time.Microsecond)
@@ -27,10 +28,10 @@
 	timeScale           = int64(time.Millisecond / time.Microsecond)
 )
 
-// histogram records values in whole units; per is how many make one of the
-// report's.
+// histogram records integer values.
 type histogram struct {
-	hdr   *hdrhistogram.Histogram
+	hdr *hdrhistogram.Histogram
+	// scale is the number of recorded units in one unit of the report.
 	scale float64
 }
 
@@ -44,17 +45,20 @@
 
 func (h *histogram) recordTime(d time.Duration) { h.recordValue(d.Microseconds()) }
 
+// recordRatio records a divided by b, where b counts as at least one microsecond.
 func (h *histogram) recordRatio(a, b time.Duration) {
 	h.recordValue(int64(ratioScale * float64(a) / float64(max(b, time.Microsecond))))
 }
 
-// value clamps to what the histogram can hold, so that nothing falls out.
+// recordValue records v. Values outside the histogram's range are clamped to it
+// rather than dropped.
 func (h *histogram) recordValue(v int64) {
 	if err := h.hdr.RecordValue(min(max(v, 0), h.hdr.HighestTrackableValue())); err != nil {
 		panic(err) // the value was clamped
 	}
 }
 
+// summary returns the summary in units of the report.
 func (h *histogram) summary() Summary {
 	at := func(percentile float64) float64 { return float64(h.hdr.ValueAtPercentile(percentile)) / h.scale }
 	f := Summary{Count: h.hdr.TotalCount()}
@@ -65,12 +69,14 @@
 	return f
 }
 
-// summaries gathers the distributions of a run.
+// histograms has the distributions of one load.
 type histograms struct {
 	response, ideal, lostToPacked, sendLag histogram
 	ratio, overPacked                      histogram
 }
 
+// add records the send lag of all calls for a job. If its first submission was
+// answered completely, it also records the response times.
 func (s *histograms) add(r *record, row *Row) {
 	if s.response.hdr == nil {
 		*s = histograms{timeHistogram(), timeHistogram(), timeHistogram(), timeHistogram(), ratioHistogram(), ratioHistogram()}
@@ -90,6 +96,7 @@
 	s.lostToPacked.recordTime(row.Response.D() - row.Packed.D())
 }
 
+// fillReport sets the summaries of a report.
 func (s *histograms) fillReport(r *Report) {
 	if s.response.hdr == nil {
 		return
--- a/transport/loadgen/httpbackend.go
+++ b/transport/loadgen/httpbackend.go
@@ -15,17 +15,17 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// maxStartsBytes bounds one reply of a stand-in.
+// maxStartsBytes is the maximum size of a reply of a stand-in.
 const maxStartsBytes = 256 << 20
 
-// HTTPBackend asks a stand-in backend server over HTTP.
+// HTTPBackend is a Backend that calls a stand-in backend server over HTTP.
 type HTTPBackend struct {
 	url   string
 	token string
 }
 
-// NewHTTPBackend returns a client for the stand-in with this base URL. An empty
-// token sends none.
+// NewHTTPBackend returns a client for the stand-in with this base URL. If token is
+// not empty, it is sent as a bearer token.
 func NewHTTPBackend(baseURL, token string) *HTTPBackend {
 	return &HTTPBackend{url: strings.TrimSuffix(baseURL, "/"), token: token}
 }
@@ -48,11 +48,13 @@
 func (b *HTTPBackend) SetFaults(ctx context.Context, f standin.Faults) error {
 	body, err := json.Marshal(f)
 	if err != nil {
-		return errors.Wrap(err, "faults")
+		return errors.Wrap(err, "encode faults")
 	}
 	return b.call(ctx, http.MethodPut, standin.FaultsPath, body, &f)
 }
 
+// call sends a request and decodes the reply into the value that into points to.
+// Any status other than 200 is an error.
 func (b *HTTPBackend) call(ctx context.Context, method, path string, body []byte, into any) error {
 	req, err := http.NewRequestWithContext(ctx, method, b.url+path, bytes.NewReader(body))
 	if err != nil {
--- a/transport/loadgen/ideal.go
+++ b/transport/loadgen/ideal.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// ideal returns the larger of the job's longest task, which is its critical
-// path, and its work spread over the free slots; and the round trips, which no
-// job can do without. It leaves out every other job of the run.
+// idealResponse returns a lower bound of the job's response time on an otherwise
+// idle system: the larger of its longest task, which is its critical path, and its
+// work divided by the free slots, plus the round trips that every job needs.
 func (j *plannedJob) idealResponse(size systemSize) time.Duration {
 	return max(j.longestRunTime(), j.work()/time.Duration(max(1, size.free))) + minRoundTrips*size.roundTrip
 }
 
-// freeTimes is a heap of when slots get free.
+// freeTimes is a min-heap of the times at which slots become free.
 type freeTimes []time.Duration
 
 func (f freeTimes) Len() int           { return len(f) }
 func (f freeTimes) Less(i, k int) bool { return f[i] < f[k] }
 func (f freeTimes) Swap(i, k int)      { f[i], f[k] = f[k], f[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (f *freeTimes) Push(x any) { *f = append(*f, x.(time.Duration)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (f *freeTimes) Pop() any {
 	last := len(*f) - 1
 	x := (*f)[last]
@@ -30,10 +30,10 @@
 	return x
 }
 
-// packed returns each job's response if one all-knowing queue handed every task
-// in order of arrival to the first free slot of the whole system in no time.
-// It shows which part of a response no dispatcher that serves in order of
-// arrival can save at this load.
+// packedResponses returns the response time of each job if a single FIFO queue
+// assigned every task to the first free slot of the whole system without delay.
+// This part of a response time is queueing that no dispatcher that serves in order
+// of arrival can avoid at this load. jobs are in the order of arrival.
 func packedResponses(jobs []plannedJob, slots int) []time.Duration {
 	free := make(freeTimes, max(1, slots))
 	out := make([]time.Duration, len(jobs))
--- a/transport/loadgen/jobs.go
+++ b/transport/loadgen/jobs.go
@@ -12,26 +12,27 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// planned is one job of a run.
+// plannedJob is one job of a run. Its times are from the start of the run.
 type plannedJob struct {
 	id string
-	// at is when it is due, from the start of the run.
+	// due is the time of the first submission.
 	due   time.Duration
 	tasks []plannedTask
-	// again is when it is submitted a second time, and cancel when it is
-	// cancelled, from the start of the run. Zero means not.
+	// resubmitAt is the time of the second submission, cancelAt the time of the
+	// cancellation. Zero means that there is none.
 	resubmitAt time.Duration
 	cancelAt   time.Duration
 }
 
-// plannedTask is one task and what the backend server will make of it.
+// plannedTask is one task of a job and its run time at the backend server.
 type plannedTask struct {
 	kind    *TaskKind
 	runTime time.Duration
 }
 
-// newPlan draws the jobs of a run on a system with so many slots. Arrivals are
-// a Poisson process; with Load one whose work is what it happened to be.
+// drawJobs draws the jobs of a run on a system with the given number of slots.
+// Arrivals are a Poisson process; if Load is set, one that is conditioned on the
+// total run time of its tasks.
 func drawJobs(c *Config, slots int) []plannedJob {
 	rng := rand.New(rand.NewPCG(c.Seed, c.Stream))
 	profile := newRateProfile(c.Length.D(), c.Phases)
@@ -49,8 +50,9 @@
 	}
 }
 
-// planLoad draws jobs until their work is the load, due at independent times:
-// that is a Poisson process of which the number of arrivals is known.
+// drawJobsForLoad draws jobs until their total run time reaches the load. Their
+// arrival times are independent and uniform in nominal time, which makes them a
+// Poisson process with a given number of arrivals.
 func (c *Config) drawJobsForLoad(rng *rand.Rand, profile rateProfile, slots int) []plannedJob {
 	total := profile.nominalLength()
 	left := time.Duration(c.Load * float64(slots) * float64(total))
@@ -67,8 +69,11 @@
 	return jobs
 }
 
+// jobID returns the id of the nth job of a run, from 0 in the order of arrival.
 func jobID(run string, n int) string { return run + "-" + strconv.Itoa(n) }
 
+// drawJob draws the size, the tasks and the resubmission or cancellation of the
+// nth job.
 func (c *Config) drawJob(rng *rand.Rand, n int, due time.Duration) plannedJob {
 	j := plannedJob{id: jobID(c.Run, n), due: due}
 	for range c.Sizes.draw(rng) {
@@ -77,8 +82,8 @@
 	}
 	longest := j.longestRunTime()
 	u := rng.Float64()
-	// The second submission and the cancellation come before or after the
-	// answer, about as often.
+	// The time of the second submission or cancellation is uniform in twice the
+	// longest run time, so that about half of them come before the answer.
 	later := due + time.Duration(rng.Float64()*2*float64(longest)) + 1
 	switch {
 	case u < c.Resubmit:
@@ -89,6 +94,7 @@
 	return j
 }
 
+// longestRunTime returns the run time of the longest task.
 func (j *plannedJob) longestRunTime() time.Duration {
 	longest := time.Duration(0)
 	for i := range j.tasks {
@@ -97,6 +103,7 @@
 	return longest
 }
 
+// work returns the total run time of the tasks.
 func (j *plannedJob) work() time.Duration {
 	work := time.Duration(0)
 	for i := range j.tasks {
@@ -105,18 +112,19 @@
 	return work
 }
 
-// payload is what the stand-in backend server understands.
+// payload is the payload of a task for the stand-in backend server.
 type payload struct {
 	Step   string `json:"step"`
 	WorkMS int64  `json:"work_ms"`
 	Echo   string `json:"echo"`
 }
 
-// echo returns the result that belongs to a task and to no other.
+// echo returns the expected result of a task, which is unique in the run.
 func (j *plannedJob) echo(task int) string { return j.id + "/" + strconv.Itoa(task) }
 
-// submission returns the job as its caller states it. The expected time is its
-// kind's mean: callers know what they ask for and not how long it takes.
+// submission returns the request for the job. The expected run time of a task is
+// the mean of its kind, because real callers know the kind of a task but not its
+// actual run time.
 func (j *plannedJob) submission(c *Config) api.Submission {
 	s := api.Submission{Kind: api.KindJob, Deadline: c.Deadline.D()}
 	s.Job.Key = state.JobKey{Service: c.Service, ID: j.id}
@@ -124,7 +132,7 @@
 		t := &j.tasks[i]
 		body, err := json.Marshal(payload{Step: t.kind.Step, WorkMS: t.runTime.Milliseconds(), Echo: j.echo(i)})
 		if err != nil {
-			panic(err) // every payload has a JSON form
+			panic(err) // a payload can always be encoded
 		}
 		s.Job.Tasks = append(s.Job.Tasks, state.Task{Payload: body, Expected: t.kind.meanRunTime()})
 	}
--- a/transport/loadgen/jobs_test.go
+++ b/transport/loadgen/jobs_test.go
@@ -26,13 +26,13 @@
 		return j
 	}
 	long := job(0, 3, 1, 1, 1)
-	is.Equal(long.idealResponse(systemSize{free: 2}), time.Duration(3)) // longest and spread alike
+	is.Equal(long.idealResponse(systemSize{free: 2}), time.Duration(3)) // the longest task takes as long as the work divided by the slots
 	wide := job(0, 2, 2, 2, 2)
-	is.Equal(wide.idealResponse(systemSize{slots: 8, free: 2}), time.Duration(4))     // spread over the free slots
-	is.Equal(wide.idealResponse(systemSize{free: 8}), time.Duration(2))               // longest
-	is.Equal(wide.idealResponse(systemSize{free: 8, roundTrip: 1}), time.Duration(7)) // and five round trips
-	// Two slots: the first job holds them until 2 and 3, the second until 6 and
-	// 7, and the third finds both free.
+	is.Equal(wide.idealResponse(systemSize{slots: 8, free: 2}), time.Duration(4))     // work divided by the free slots
+	is.Equal(wide.idealResponse(systemSize{free: 8}), time.Duration(2))               // the longest task
+	is.Equal(wide.idealResponse(systemSize{free: 8, roundTrip: 1}), time.Duration(7)) // plus five round trips
+	// Two slots: the first job occupies them until 2 and 3, the second until 6
+	// and 7, and both are free when the third arrives.
 	jobs := []plannedJob{job(0, 2, 3), job(1, 4, 4), job(10, 5)}
 	is.Equal(packedResponses(jobs, 2), []time.Duration{3, 6, 5})
 }
@@ -82,8 +82,9 @@
 	}
 }
 
-// A load in shares of the slots must be what arrives, whatever the lots give:
-// a run that is called 95 % and offers 89 % flatters the system.
+// The work that arrives must match the configured share of the slots for every
+// seed. A run that is reported as 95 % and offers only 89 % makes the system look
+// better than it is.
 func TestLoadIsMet(t *testing.T) {
 	is := is.New(t)
 	const slots = 88
@@ -135,7 +136,7 @@
 	c := testConfig(t)
 	c.Service = "unknown"
 	_, err = measureOne(context.Background(), c, empty)
-	is.True(err != nil) // no slot to measure against
+	is.True(err != nil) // the service has no slots
 }
 
 func readFile(t *testing.T, path string) string {
@@ -160,7 +161,7 @@
 	is.NoErr(err)
 	again := filepath.Join(dir, "again.json")
 	is.NoErr(back.Write(again))
-	is.Equal(readFile(t, again), readFile(t, path)) // nothing is lost beyond the file's microseconds
+	is.Equal(readFile(t, again), readFile(t, path)) // the file only rounds to microseconds
 	is.Equal(back.Loads[0].Response, a.Response)
 	is.Equal(back.Loads[0].Config.jobRate(), a.Config.jobRate())
 	_, err = Read(filepath.Join(dir, "none"))
--- a/transport/loadgen/measurement.go
+++ b/transport/loadgen/measurement.go
@@ -5,26 +5,29 @@
 	"time"
 )
 
-// reportFormat is raised when a field changes its meaning.
+// reportFormat is the version of the report file. It increases when the meaning
+// of a field changes.
 const reportFormat = 2
 
-// idealNote states in each report what the ideal is.
+// idealNote explains the ideal and packed response times in each report.
 const idealNote = "ideal: the larger of a job's longest task and its work spread over the slots of the service that were " +
 	"free before the run by the entry's status, and five round trips between caller and entry; " +
 	"packed: one all-knowing queue in order of arrival over all slots of the service"
 
-// Measurement is what a plan came to.
+// Measurement is the result of a plan.
 type Measurement struct {
 	Format int    `json:"format"`
 	Note   string `json:"note"`
 	Plan   *Plan  `json:"plan"`
-	// Elapsed is until the last answer and the end of the last step.
+	// Elapsed is the time from the start of the run to the last answer and the
+	// end of the last step.
 	Elapsed Duration     `json:"elapsed_ms"`
 	Loads   []*Report    `json:"loads"`
 	Steps   []StepResult `json:"steps"`
 	Starts  Starts       `json:"starts"`
-	// Passed says that no check failed, no task was doubled, lost or started
-	// though not run, and every step was carried out.
+	// Passed is true if no check failed, no task was started twice, lost or
+	// started though its job is "not run", the starts could be counted, and
+	// every step was carried out.
 	Passed bool `json:"passed"`
 }
 
@@ -36,6 +39,7 @@
 	return m
 }
 
+// setPassed sets Passed from the other fields.
 func (m *Measurement) setPassed() {
 	m.Passed = m.Starts.Failed() == 0 && m.Starts.Failure == "" &&
 		!slices.ContainsFunc(m.Loads, func(r *Report) bool { return !r.Passed() }) &&
--- a/transport/loadgen/mix.go
+++ b/transport/loadgen/mix.go
@@ -8,8 +8,9 @@
 	"github.com/pkg/errors"
 )
 
-// Kind is one kind of task. Its run time is from Least to Most, each alike
-// often, in whole milliseconds.
+// TaskKind is one kind of task. Its run time is uniform from MinRunTime to
+// MaxRunTime, in whole milliseconds. Share is the share of tasks of this kind, Step
+// the name of the step in the payload.
 type TaskKind struct {
 	Step                   string
 	Share                  float64
@@ -18,18 +19,21 @@
 
 func (k *TaskKind) meanRunTime() time.Duration { return (k.MinRunTime + k.MaxRunTime) / 2 }
 
-// Mix is what the tasks of a run do. The shares of its kinds add up to 1.
+// Mix is the distribution of the kinds of tasks of a load. The shares of its kinds
+// add up to 1.
 type Mix struct {
 	Name string
-	// Service is the service that the mix is for, where there is one.
+	// Service is the default service of a load with this mix. It is empty for the
+	// mix "fixed".
 	Service string
 	Kinds   []TaskKind
 }
 
-// fixedMix is the name of a mix with one run time.
+// fixedMixName is the name of the mix whose tasks all have the same run time.
 const fixedMixName = "fixed"
 
-// The users' own mixes: most tasks take 50 ms to a second, a few several.
+// The mixes of the users. Most tasks take 50 ms to 1 s, a few take several
+// seconds.
 var (
 	haneulMix = Mix{Name: "haneul", Service: "bench-desk", Kinds: []TaskKind{
 		{"eye-size", 0.35, 50 * time.Millisecond, 200 * time.Millisecond},
@@ -45,7 +49,8 @@
 	}}
 )
 
-// ParseMix returns the mix of a name. Work is the run time of the mix "fixed".
+// ParseMix returns the mix with this name. work is the run time of the tasks of the
+// mix "fixed", truncated to milliseconds; other mixes ignore it.
 func ParseMix(name string, work time.Duration) (Mix, error) {
 	switch name {
 	case haneulMix.Name:
@@ -62,7 +67,7 @@
 	return Mix{}, errors.Errorf("the mix is haneul, gridlog or fixed, not %q", name)
 }
 
-// text is the mix's name, with the run time where it isn't told by the name.
+// text returns the name of the mix, followed by the run time for the mix "fixed".
 func (m Mix) text() string {
 	if m.Name == fixedMixName {
 		return m.Name + " " + m.Kinds[0].MinRunTime.String()
@@ -70,6 +75,7 @@
 	return m.Name
 }
 
+// parseMixText parses the result of text.
 func parseMixText(text string) (Mix, error) {
 	name, length, _ := strings.Cut(text, " ")
 	if length == "" {
@@ -77,7 +83,7 @@
 	}
 	work, err := time.ParseDuration(length)
 	if err != nil {
-		return Mix{}, errors.Wrap(err, "the work of a mix")
+		return Mix{}, errors.Wrap(err, "parse run time of a mix")
 	}
 	return ParseMix(name, work)
 }
@@ -91,6 +97,7 @@
 	return time.Duration(mean)
 }
 
+// draw draws a kind of task and its run time.
 func (m Mix) draw(rng *rand.Rand) (*TaskKind, time.Duration) {
 	x := rng.Float64()
 	k := &m.Kinds[len(m.Kinds)-1]
--- a/transport/loadgen/plan.go
+++ b/transport/loadgen/plan.go
@@ -9,63 +9,68 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// Plan is a whole measurement: loads that are put on one system at the same
-// time, and what is done to the system meanwhile.
+// Plan describes a measurement: loads that run at the same time on one system, and
+// steps that are carried out during the run.
 type Plan struct {
 	Name  string   `json:"plan"`
 	Loads []Config `json:"loads"`
 	Steps []Step   `json:"steps,omitempty"`
-	// Backends are the base URLs of the stand-in backend servers, where the
-	// starts are counted.
+	// Backends are the base URLs of the stand-in backend servers, which count the
+	// starts of tasks and inject faults.
 	Backends []string `json:"backends,omitempty"`
-	// BackendTokenFile and the loads' TokenFile hold bearer tokens.
+	// BackendTokenFile is the path of the file with the bearer token for the
+	// stand-ins.
 	BackendTokenFile string `json:"-"`
 }
 
-// Phase multiplies the rate of arrivals by Rate for a while.
+// Phase multiplies the arrival rate by Rate from At for the duration For.
 type Phase struct {
 	At   Duration `json:"at_ms"`
 	For  Duration `json:"for_ms"`
 	Rate float64  `json:"rate"`
 }
 
-// Step is one thing that is done to the system at a time. Exactly one of
-// CancelInFlight and Fault is set.
+// Step is an action at a given time of the run. Exactly one of CancelInFlight and
+// Fault is set.
 type Step struct {
 	At Duration `json:"at_ms"`
-	// CancelInFlight cancels every job that waits for its answer.
+	// CancelInFlight cancels every job that is waiting for its answer.
 	CancelInFlight bool `json:"cancel_in_flight,omitempty"`
-	// Fault goes wrong at the stand-in Backend, counted from 1, until For is over.
+	// Fault is injected at the stand-in number Backend, counted from 1, for the
+	// duration For.
 	Fault   Fault    `json:"fault,omitempty"`
 	Backend int      `json:"backend,omitempty"`
 	For     Duration `json:"for_ms,omitempty"`
 }
 
-// Fault names what goes wrong at a stand-in.
+// Fault is the name of a fault that a stand-in can inject.
 type Fault string
 
-// The faults that a step may bring about.
+// The faults that a step can inject.
 const (
+	// FaultFailAll fails every task immediately after its start.
 	FaultFailAll Fault = "fail_all"
-	FaultRefuse  Fault = "refuse"
+	// FaultRefuse refuses every task without starting it.
+	FaultRefuse Fault = "refuse"
 )
 
-// faults has the document for each fault.
+// standinFaults maps each fault to the request that injects it.
 var standinFaults = map[Fault]standin.Faults{
 	FaultFailAll: {FailAll: true},
 	FaultRefuse:  {Refuse: true},
 }
 
-// Bounds of a plan.
+// Limits of a plan.
 const (
 	maxLoads  = 16
 	maxSteps  = 100
 	maxPhases = 100
-	// maxRate bounds a phase's rate, far beyond any burst that is served.
+	// maxRate is the maximum of Phase.Rate. No system serves a burst of 1000
+	// times its usual rate.
 	maxRate = 1000
 )
 
-// Check returns what is wrong with the plan, or nil.
+// Validate returns an error if the plan is not valid.
 func (p *Plan) Validate() error {
 	if len(p.Loads) == 0 || len(p.Loads) > maxLoads {
 		return errors.Errorf("a plan has 1 to %d loads", maxLoads)
@@ -92,6 +97,7 @@
 	return nil
 }
 
+// length returns the longest Length of the loads.
 func (p *Plan) length() time.Duration {
 	longest := time.Duration(0)
 	for i := range p.Loads {
@@ -100,6 +106,7 @@
 	return longest
 }
 
+// patience returns the longest Patience of the loads.
 func (p *Plan) patience() time.Duration {
 	longest := time.Duration(0)
 	for i := range p.Loads {
@@ -108,10 +115,12 @@
 	return longest
 }
 
-// keyFault is what is wrong with one key.
+// fieldError is a validation error at a key of a load, step or phase. An empty key
+// means the whole object.
 type fieldError struct{ key, msg string }
 
-// fault returns what is wrong with a step of a run of that length, or nil.
+// validate returns an error if the step is not valid in a run of that length with
+// that number of backend servers.
 func (s *Step) validate(length time.Duration, backends int) *fieldError {
 	kinds := 0
 	for _, set := range []bool{s.CancelInFlight, s.Fault != ""} {
@@ -139,8 +148,8 @@
 	return nil
 }
 
-// phaseFault returns what is wrong with the phases of a run, or nil, and which
-// one it is.
+// validatePhases returns the first error in the phases of a run of that length, and
+// the index of the phase.
 func validatePhases(phases []Phase, length time.Duration) (int, *fieldError) {
 	end := time.Duration(0)
 	for i, p := range phases {
@@ -159,19 +168,21 @@
 	return 0, nil
 }
 
-// SetRun names the run, which begins each id, so that two runs never meet in one.
+// SetRun sets the name of the run, which is the prefix of each job's id. Each run
+// needs its own name, so that ids of different runs are distinct.
 func (p *Plan) SetRun(run string) {
 	for i := range p.Loads {
 		p.Loads[i].Run = run
 	}
 }
 
-// SetSeed replaces the seed of all loads.
+// SetSeed sets the seed of all loads.
 func (p *Plan) SetSeed(seed uint64) {
 	for i := range p.Loads {
 		p.Loads[i].Seed = seed
 	}
 }
 
-// checkRun says whether a run's name leaves room for the rest of an id.
+// validRunName reports whether a run's name is not empty and short enough for an
+// id, which also has the number of the job.
 func validRunName(run string) bool { return run != "" && len(run) <= state.MaxIDLength/2 }
--- a/transport/loadgen/plan_test.go
+++ b/transport/loadgen/plan_test.go
@@ -63,8 +63,9 @@
 	}
 }
 
-// A burst of four times the rate for a quarter of the run: that much must arrive
-// in it, as a rate and as a load, and nothing in a phase without arrivals.
+// A phase with four times the rate for a quarter of the run must have about four
+// times the arrivals, whether the load is given as a rate or as a share of the
+// slots, and a phase with rate 0 must have none.
 func TestPhasesChangeTheArrivals(t *testing.T) {
 	is := is.New(t)
 	for _, setRate := range []func(*Config){
--- a/transport/loadgen/planfile.go
+++ b/transport/loadgen/planfile.go
@@ -11,7 +11,7 @@
 	"github.com/shallotstep/shallotstep/state/strictjson"
 )
 
-// planFile is a plan as it stands in its file.
+// planFile is the JSON form of a plan.
 type planFile struct {
 	Plan             string        `json:"plan"`
 	Seed             uint64        `json:"seed"`
@@ -52,12 +52,14 @@
 	For            time.Duration `json:"for"`
 }
 
-// unnamedRun stands for the run's name, which no file has.
+// placeholderRun is the name of the run until SetRun is called, because plan files
+// don't contain it. checkReachable also uses it as a prefix of ids.
 const placeholderRun = "run"
 
-// ParsePlan reads a plan, which is JSON with comments. The name stands in
-// errors, and the paths of token files are relative to its directory. Errors
-// are strictjson.Errors: all faults, each with file, line and key.
+// ParsePlan parses a plan file, which is JSON with comments. name is the path of the
+// file. It is used in errors, and the paths of token files are relative to its
+// directory. Errors are of type strictjson.Errors, with the file, line and key of
+// each error found.
 func ParsePlan(name string, src []byte) (*Plan, error) {
 	f := planFile{Length: DefaultLength, Patience: DefaultPatience}
 	doc, err := strictjson.DecodeDocument(name, src, &f)
@@ -75,13 +77,14 @@
 	return p, nil
 }
 
-// planReader turns a file into a plan and gathers the faults.
+// planReader converts a planFile to a Plan and collects the errors.
 type planReader struct {
 	doc  *strictjson.Document
 	errs strictjson.Errors
 }
 
-// fault reports one fault, unless the decoder has found one at the key already.
+// addError adds an error at a key, unless there is one for the same key already,
+// for example from the decoder.
 func (r *planReader) addError(key, text string) {
 	for _, f := range r.errs {
 		if f.Key == key {
@@ -91,6 +94,7 @@
 	r.errs = append(r.errs, r.doc.Errorf(key, "%s", text))
 }
 
+// addFieldError adds an error whose key is relative to key. It ignores nil.
 func (r *planReader) addFieldError(key string, fieldErr *fieldError) {
 	switch {
 	case fieldErr == nil:
@@ -135,7 +139,7 @@
 	return p
 }
 
-// beside returns the path of a file that a plan in dir names.
+// resolvePath returns the path of a file that is named in a plan in dir.
 func resolvePath(dir, file string) string {
 	if file == "" || filepath.IsAbs(file) {
 		return file
--- a/transport/loadgen/plot.go
+++ b/transport/loadgen/plot.go
@@ -18,13 +18,14 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// The look of the plots.
+// Dimensions of the plots.
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 12 * vg.Centimeter
 	dotRadius  = 1.5 * vg.Millimeter / 2
 	plotMargin = 4 * vg.Millimeter
-	// leastMS keeps zero off the logarithmic axes.
+	// minPlotMS is the smallest value on a logarithmic axis, which cannot show
+	// zero.
 	minPlotMS = 1
 )
 
@@ -34,9 +35,9 @@
 	idealColor    = color.NRGBA{G: 130, A: 255}
 )
 
-// Plot writes two plots for each load into one file, SVG or PNG by its name:
-// each job's response against its ideal, and the response over the time at which
-// the job was due.
+// Plot writes two plots for each load to one file, SVG or PNG by its extension: the
+// response time of each job over its ideal response time, and over the time at
+// which the job was due.
 func (m *Measurement) Plot(path string) error {
 	var plots []*plot.Plot
 	for _, r := range m.Loads {
@@ -53,12 +54,12 @@
 	return savePlots(path, plots)
 }
 
-// savePlots writes plots one below the other into one file.
+// savePlots writes plots to one file, one below the other.
 func savePlots(path string, plots []*plot.Plot) error {
 	format := strings.TrimPrefix(filepath.Ext(path), ".")
 	canvas, err := draw.NewFormattedCanvas(plotWidth, vg.Length(len(plots))*plotHeight, format)
 	if err != nil {
-		return errors.Wrapf(err, "plot %s: the name ends in .svg or .png", path)
+		return errors.Wrapf(err, "plot %s: the file name must end in .svg or .png", path)
 	}
 	tiles := draw.Tiles{
 		Rows: len(plots), Cols: 1,
@@ -79,7 +80,8 @@
 	return errors.Wrap(err, "plot")
 }
 
-// points returns x and the response of complete jobs and of the others.
+// points returns a point for each job, with x from the function and the response
+// time as y. Jobs that are not complete are returned separately.
 func (r *Report) points(x func(*Row) float64) (complete, other plotter.XYs) {
 	for i := range r.Rows {
 		row := &r.Rows[i]
@@ -93,6 +95,7 @@
 	return complete, other
 }
 
+// scatter adds points and their legend to a plot.
 func scatter(p *plot.Plot, name string, points plotter.XYs, c color.Color) error {
 	if len(points) == 0 {
 		return nil
@@ -107,6 +110,8 @@
 	return nil
 }
 
+// newPlot returns a scatter plot of response times over xValue, with a logarithmic
+// y axis.
 func (r *Report) newPlot(title, xLabel string, xValue func(*Row) float64) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = title
@@ -126,7 +131,9 @@
 	return p, nil
 }
 
-// decades widens a range to whole powers of ten, as a logarithmic axis needs.
+// roundToDecades extends a range to powers of ten for a logarithmic axis. A range
+// that is not positive, or infinite because there are no points, is replaced by the
+// decade from minPlotMS.
 func roundToDecades(smallest, largest float64) (float64, float64) {
 	if !(smallest > 0) || math.IsInf(smallest, 0) || math.IsInf(largest, 0) {
 		smallest, largest = minPlotMS, 10*minPlotMS
@@ -136,6 +143,8 @@
 	return low, max(high, 10*low)
 }
 
+// responseAgainstIdeal returns a plot of response time over ideal response time,
+// with a line where both are equal.
 func (r *Report) responseAgainstIdeal() (*plot.Plot, error) {
 	x := func(row *Row) float64 { return max(minPlotMS, milliseconds(row.Ideal.D())) }
 	p, err := r.newPlot(r.Config.Service+": response against ideal", "ideal, ms", x)
@@ -156,6 +165,8 @@
 	return p, nil
 }
 
+// responseOverTime returns a plot of response time over the time at which the job
+// was due.
 func (r *Report) responseOverTime() (*plot.Plot, error) {
 	x := func(row *Row) float64 { return row.Due.D().Seconds() }
 	p, err := r.newPlot(r.Config.Service+": response over time", "due, s", x)
--- a/transport/loadgen/print.go
+++ b/transport/loadgen/print.go
@@ -6,10 +6,10 @@
 	"text/tabwriter"
 )
 
-// columnGap is the space between columns.
+// columnGap is the number of spaces between columns.
 const columnGap = 2
 
-// Print writes the measurement for a person.
+// Print writes the measurement as text.
 func (m *Measurement) Print(out io.Writer) {
 	if m.Plan.Name != "" {
 		fmt.Fprintf(out, "plan %s, %v in all\n", m.Plan.Name, m.Elapsed.D().Round(displayRounding))
@@ -67,7 +67,8 @@
 	r.printChecks(out)
 }
 
-// line is one distribution of a report.
+// distribution is one row of the table of response times. decimals is the number of
+// digits after the decimal point.
 type distribution struct {
 	name     string
 	decimals int
--- a/transport/loadgen/rateprofile.go
+++ b/transport/loadgen/rateprofile.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// warp maps steady time, in which arrivals come at one rate, onto the time of a
-// run whose phases change the rate. Without phases both are the same, so that
-// a seed draws the same jobs.
+// rateProfile maps nominal time, in which the arrival rate is constant, to the time
+// of a run whose phases change the rate. Without phases both are the same, so that
+// the same seed draws the same jobs.
 type rateProfile struct{ segments []segment }
 
-// piece is a stretch of the run with one rate; steady is where it begins in
-// steady time.
+// segment is a part of the run with a constant rate, relative to the rate outside of
+// phases. nominalStart is the nominal time at its start.
 type segment struct {
 	from, to     time.Duration
 	rate         float64
@@ -27,15 +27,17 @@
 	return r
 }
 
+// add appends a segment unless it is empty.
 func (r *rateProfile) add(from, to time.Duration, rate float64) {
 	if to > from {
 		r.segments = append(r.segments, segment{from, to, rate, float64(r.nominalLength())})
 	}
 }
 
+// nominalEnd returns the nominal time at the end of the segment, in nanoseconds.
 func (s *segment) nominalEnd() float64 { return s.nominalStart + s.rate*float64(s.to-s.from) }
 
-// total returns how much steady time the run has.
+// nominalLength returns the length of the run in nominal time.
 func (r rateProfile) nominalLength() time.Duration {
 	if len(r.segments) == 0 {
 		return 0
@@ -43,8 +45,8 @@
 	return time.Duration(r.segments[len(r.segments)-1].nominalEnd())
 }
 
-// at returns when in the run a moment of steady time is. It is before the end
-// for a moment before total.
+// runTime converts nominal time to the time from the start of the run. The result
+// is before the end of the run if nominal is less than nominalLength.
 func (r rateProfile) runTime(nominal time.Duration) time.Duration {
 	for i := range r.segments {
 		s := &r.segments[i]
--- a/transport/loadgen/report.go
+++ b/transport/loadgen/report.go
@@ -7,39 +7,41 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// Report is what one load came to. Response, Ratio and Packed count complete
-// jobs only; Outcomes tells of the others.
+// Report is the result of one load. The summaries of response times include
+// complete jobs only.
 type Report struct {
 	Config Config `json:"config"`
-	// Agents, Slots and FreeSlots are those of the service before the run, and
-	// RoundTrip is the shortest between caller and entry then.
+	// Agents, Slots and FreeSlots are those of the service before the run.
+	// RoundTrip is the shortest round trip between caller and entry before the
+	// run.
 	Agents    int      `json:"agents"`
 	Slots     int      `json:"slots"`
 	FreeSlots int      `json:"free_slots"`
 	RoundTrip Duration `json:"round_trip_ms"`
-	// Jobs, Tasks and Load were offered. Load is the work that arrived over
-	// what all slots do in the length of the run.
+	// Jobs, Tasks and Load are the offered load. Load is the total run time of
+	// the tasks divided by the capacity of all slots during the run's length.
 	Jobs  int     `json:"jobs"`
 	Tasks int     `json:"tasks"`
 	Load  float64 `json:"load"`
-	// Elapsed is until the last answer, StartsPerSecond the tasks of complete
-	// jobs over that time.
+	// Elapsed is the time from the start of the run to the last answer.
+	// StartsPerSecond is the number of tasks of complete jobs divided by it.
 	Elapsed         Duration `json:"elapsed_ms"`
 	StartsPerSecond float64  `json:"starts_per_second"`
-	// Outcomes tells of all jobs, by reason.
+	// Outcomes counts all jobs by outcome and reason.
 	Outcomes []OutcomeCount `json:"outcomes"`
-	// Response and Ideal are in milliseconds, Ratio is response over ideal.
+	// Response and Ideal are in milliseconds. Ratio is the response time divided
+	// by the ideal.
 	Response Summary `json:"response_ms"`
 	Ideal    Summary `json:"ideal_ms"`
 	Ratio    Summary `json:"response_over_ideal"`
-	// OverPacked is response over what an all-knowing queue would give, and
-	// LostToPacked the difference in milliseconds, zero where it is negative.
+	// OverPacked is the response time divided by that of packedResponses, and
+	// LostToPacked the difference in milliseconds, or zero if it is negative.
 	OverPacked   Summary `json:"response_over_packed"`
 	LostToPacked Summary `json:"lost_to_packed_ms"`
-	// SendLag is by how much calls left later than they were due, in
-	// milliseconds. A large one says that the load tool is the bottleneck.
+	// SendLag is the time from when a call was due to when it was sent, in
+	// milliseconds. If it is large, the load generator is the bottleneck.
 	SendLag Summary `json:"send_lag_ms"`
-	// CompleteTasks are those of complete jobs.
+	// CompleteTasks is the number of tasks of complete jobs.
 	CompleteTasks int           `json:"complete_tasks"`
 	Resubmissions Resubmissions `json:"resubmissions"`
 	Cancellations Cancellations `json:"cancellations"`
@@ -48,29 +50,29 @@
 	Rows          []Row         `json:"rows"`
 }
 
-// OutcomeCount is how many jobs came to an outcome for a reason.
+// OutcomeCount is the number of jobs with the same outcome and reason.
 type OutcomeCount struct {
 	Outcome string       `json:"outcome"`
 	Reason  state.Reason `json:"reason,omitempty"`
 	Jobs    int          `json:"jobs"`
 }
 
-// Row is one job.
+// Row is the result of one job. Due is from the start of the run.
 type Row struct {
 	Due      Duration `json:"due_ms"`
 	Response Duration `json:"response_ms"`
 	Ideal    Duration `json:"ideal_ms"`
 	Packed   Duration `json:"packed_ms"`
 	Tasks    int      `json:"tasks"`
-	// Outcome and Reason are the first submission's. Settled is what holds of
-	// the id in the end: the second one's outcome where that was sent after the
-	// first one was known to have not run.
+	// Outcome and Reason are those of the first submission. Settled is the final
+	// outcome of the id: that of the second submission if it was sent after the
+	// first had been answered with "not run", else the same as Outcome.
 	Outcome string       `json:"outcome"`
 	Reason  state.Reason `json:"reason,omitempty"`
 	Settled string       `json:"settled"`
 }
 
-// Passed says that no check failed.
+// Passed reports whether no check failed.
 func (r *Report) Passed() bool {
 	return !slices.ContainsFunc(r.Checks, func(c Check) bool { return c.Failed > 0 })
 }
@@ -111,7 +113,8 @@
 	return r
 }
 
-// row sums up a job. A job whose turn never came is reported as not sent.
+// row returns the result of a job. A job that was not submitted before the run
+// ended is "not run" with the reason reasonNotSent.
 func (r *record) row(size systemSize, packed time.Duration) Row {
 	row := Row{
 		Due: Duration(r.due), Ideal: Duration(r.idealResponse(size)), Packed: Duration(packed),
@@ -126,5 +129,5 @@
 	return row
 }
 
-// JobID returns the id of the job that Rows[i] is about.
+// JobID returns the id of the job in Rows[i].
 func (r *Report) JobID(i int) string { return jobID(r.Config.Run, i) }
--- a/transport/loadgen/run.go
+++ b/transport/loadgen/run.go
@@ -16,35 +16,38 @@
 	"github.com/shallotstep/shallotstep/transport/pause"
 )
 
-// Caller is a client of one entry. *httpclient.Client is one.
+// Caller is a client of one entry. It is implemented by *httpclient.Client.
 type Caller interface {
 	Submit(ctx context.Context, s api.Submission) (api.Answer, *httpclient.Failure)
 	Cancel(ctx context.Context, key state.JobKey) (api.Answer, *httpclient.Failure)
 	Status(ctx context.Context) (api.Status, *httpclient.Failure)
 }
 
-// Target is the system that a plan is carried out on.
+// Target is the system under test.
 type Target struct {
-	// Entries has, for each load of the plan, a client of each entry.
+	// Entries has one list per load of the plan, with a client for each entry.
 	Entries [][]Caller
-	// Backends are the plan's, in its order. Without any, starts are not counted.
+	// Backends are clients for the backend servers of the plan, in the same
+	// order. If there are none, starts are not counted.
 	Backends []Backend
 }
 
-// record is a job and what came of it.
+// record is a job and the replies to its calls.
 type record struct {
 	plannedJob
 	first        reply
 	second       reply
 	cancellation reply
-	// waits says that the first submission was sent and has no answer.
+	// awaitingAnswer is true while the first submission has been sent and not
+	// been answered.
 	awaitingAnswer atomic.Bool
-	// waved says that a step has cancelled it.
+	// cancelledByStep is true if a step has cancelled the job.
 	cancelledByStep atomic.Bool
 }
 
-// reply is what one call brought. Times are from the start of the run.
+// reply is the result of one call. Times are from the start of the run.
 type reply struct {
+	// made is true if the call was made.
 	made    bool
 	due     time.Duration
 	sent    time.Duration
@@ -53,16 +56,16 @@
 	failure *httpclient.Failure
 }
 
-// call is one call on an entry.
+// call makes one call to an entry.
 type call func(ctx context.Context) (api.Answer, *httpclient.Failure)
 
-// event is one thing that is done at a time of the run.
+// event is an action that is due at a time from the start of the run.
 type event struct {
 	due time.Duration
 	do  func(ctx context.Context, begin time.Time)
 }
 
-// traffic is one load of a plan on its way.
+// loadRun is the execution of one load of a plan.
 type loadRun struct {
 	config  *Config
 	entries []Caller
@@ -71,16 +74,16 @@
 	records []record
 }
 
-// Measure carries out a plan and returns what came of it. Jobs go to the
-// entries in turn, as a balancer would spread them. It ends at the latest when
-// the plan's length and patience are over; calls that are open then count as
-// unknown. An error means that no load was put on.
+// Measure carries out a plan and returns the result. Jobs are sent to the entries
+// round-robin, as by a load balancer. The run ends at the latest after the plan's
+// length and patience; the outcome of calls without an answer is then unknown. An
+// error means that no job was sent.
 func Measure(ctx context.Context, p *Plan, t Target) (*Measurement, error) {
 	if err := p.Validate(); err != nil {
 		return nil, err
 	}
 	if len(t.Entries) != len(p.Loads) || len(t.Backends) != len(p.Backends) {
-		return nil, errors.New("the target isn't the plan's")
+		return nil, errors.New("the target must have one list of entries per load and one client per backend server of the plan")
 	}
 	if err := checkReachable(ctx, t.Backends); err != nil {
 		return nil, err
@@ -110,9 +113,10 @@
 	return m, nil
 }
 
+// newLoadRun measures the size of the system and draws the jobs.
 func newLoadRun(ctx context.Context, c *Config, entries []Caller) (*loadRun, error) {
 	if len(entries) == 0 {
-		return nil, errors.New("no entry")
+		return nil, errors.New("a load needs at least one entry")
 	}
 	size, err := measureSystem(ctx, c.Service, entries[0])
 	if err != nil {
@@ -126,7 +130,7 @@
 	return l, nil
 }
 
-// events returns every call of the load.
+// events returns the calls of the load.
 func (l *loadRun) events() []event {
 	var out []event
 	for i := range l.records {
@@ -151,17 +155,17 @@
 	return out
 }
 
-// cancelCall cancels a job through the entry that it wasn't sent to, where there
-// is another.
+// cancelCall returns the call that cancels job i. It goes to another entry than the
+// first submission if there is one.
 func (l *loadRun) cancelCall(i int) call {
 	otherEntry := l.entries[(i+1)%len(l.entries)]
 	key := state.JobKey{Service: l.config.Service, ID: l.records[i].id}
 	return func(ctx context.Context) (api.Answer, *httpclient.Failure) { return otherEntry.Cancel(ctx, key) }
 }
 
-// carryOut does everything when it is due, whatever became of what was before,
-// and returns when all has ended and how long that took. What is due after ctx
-// has ended is not done.
+// runEvents starts each event when it is due, without waiting for earlier ones. It
+// returns the elapsed time when all have ended. Events that are due after ctx has
+// ended are not started.
 func runEvents(ctx context.Context, events []event) time.Duration {
 	begin := time.Now()
 	var wg conc.WaitGroup
@@ -176,10 +180,12 @@
 	return time.Since(begin)
 }
 
+// event returns the event that makes a call and stores its result in r.
 func (r *reply) event(due time.Duration, c call) event {
 	return event{due, func(ctx context.Context, begin time.Time) { r.do(ctx, begin, due, c) }}
 }
 
+// do makes a call and stores its result and times in r.
 func (r *reply) do(ctx context.Context, begin time.Time, due time.Duration, c call) {
 	r.made = true
 	r.due = due
@@ -188,13 +194,14 @@
 	r.done = time.Since(begin)
 }
 
-// complete says that the caller holds the whole answer.
+// complete reports whether the caller received a complete answer.
 func (r *reply) complete() bool { return r.made && r.failure == nil }
 
-// response counts from when the call was due and not from when it was sent.
+// response returns the response time. It is measured from the time when the call
+// was due and not from when it was sent.
 func (r *reply) response() time.Duration { return r.done - r.due }
 
-// outcome is what the caller knows of its job.
+// outcome returns the outcome of the job as known to the caller.
 func (r *reply) outcome() state.Outcome {
 	if r.failure != nil {
 		return r.failure.Outcome
--- a/transport/loadgen/run_test.go
+++ b/transport/loadgen/run_test.go
@@ -32,8 +32,9 @@
 	}
 }
 
-// fakeEntry answers after the longest task of a job, and not before stalled.
-// Bend changes the answer to the nth submission of a job, from 0.
+// fakeEntry answers after the run time of a job's longest task, but not before
+// stalledUntil. If hang is set, it never answers. corrupt changes the answer to the
+// nth submission of a job, from 0.
 type fakeEntry struct {
 	stalledUntil time.Time
 	hang         bool
@@ -79,7 +80,8 @@
 	return a, e.corrupt(a.ID, n, &a)
 }
 
-// correctAnswer is what a right entry answers.
+// correctAnswer returns the answer of a correct entry and the run time of the
+// longest task.
 func correctAnswer(id string, tasks []state.Task) (api.Answer, time.Duration) {
 	a := api.Answer{ID: id, Outcome: api.Outcome(state.Complete), Stats: &api.Stats{}}
 	longest := time.Duration(0)
@@ -97,7 +99,7 @@
 	return a, longest
 }
 
-// measureOne carries out a plan of one load.
+// measureOne carries out a plan with one load.
 func measureOne(ctx context.Context, c Config, entries ...Caller) (*Report, error) {
 	m, err := Measure(ctx, &Plan{Loads: []Config{c}}, Target{Entries: [][]Caller{entries}})
 	if err != nil {
@@ -106,7 +108,7 @@
 	return m.Loads[0], nil
 }
 
-// singleLoadMeasurement is a measurement of one load.
+// singleLoadMeasurement returns a measurement with one load.
 func singleLoadMeasurement(r *Report) *Measurement {
 	m := &Measurement{Format: reportFormat, Plan: &Plan{Loads: []Config{r.Config}}, Loads: []*Report{r}}
 	m.setPassed()
@@ -134,10 +136,10 @@
 	panic(name)
 }
 
-// An entry stalls for the first three seconds and then answers at once. A tool
-// that waits for an answer before it sends again would send one job in that
-// time, and its median would hide the stall. Here every job that was due
-// meanwhile must show its own wait.
+// An entry stalls for the first three seconds and then answers at once. A closed-loop
+// load generator, which waits for an answer before it sends again, would send one
+// job in that time, and its median would hide the stall. Here the response time of
+// every job that was due during the stall must include its own wait.
 func TestStallCountsForEveryJobDueDuringIt(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
@@ -148,7 +150,7 @@
 		waited := 0
 		for _, row := range r.Rows {
 			want := max(100*time.Millisecond, stall-row.Due.D())
-			is.Equal(row.Response.D(), want) // counts from when it was due
+			is.Equal(row.Response.D(), want) // measured from the time when it was due
 			if row.Due.D() < stall {
 				waited++
 			}
@@ -160,8 +162,8 @@
 	})
 }
 
-// An entry never answers. The run must end all the same, and the jobs count as
-// unknown and not as missing.
+// An entry never answers. The run must end after its length and patience, and the
+// outcome of the jobs must be unknown; they must not be missing from the report.
 func TestRunEndsThoughEntryNeverAnswers(t *testing.T) {
 	is := is.New(t)
 	r := run(t, testConfig(t), &fakeEntry{hang: true})
--- a/transport/loadgen/sizes.go
+++ b/transport/loadgen/sizes.go
@@ -10,23 +10,24 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// mixedSizes is what DefaultTasks stands for: most jobs are small, some large.
+// mixedSizes is the distribution for DefaultTasks: most jobs are small, some large.
 const mixedSizes = "1=0.6,2-10=0.3,20-60=0.1"
 
-// Sizes draws the number of tasks of a job.
+// Sizes is the distribution of the number of tasks per job.
 type Sizes struct {
 	text   string
 	ranges []sizeRange
 }
 
-// sizeRange is from least to most, each alike often.
+// sizeRange is a uniform distribution from min to max. share is the share of jobs
+// whose size is from this range.
 type sizeRange struct {
 	min, max int
 	share    float64
 }
 
-// ParseSizes reads how many tasks a job has: "N", "N-M", a list of either with
-// shares such as "1=0.6,2-10=0.4", or "mix".
+// ParseSizes parses a distribution: "N", "N-M", a list of either with shares such as
+// "1=0.6,2-10=0.4", or "mix". Shares are normalized to a sum of 1.
 func ParseSizes(text string) (Sizes, error) {
 	s := Sizes{text: text}
 	list := text
@@ -48,6 +49,7 @@
 	return s, nil
 }
 
+// parseSizeRange parses one item of the list: "N", "N-M", or either with "=SHARE".
 func parseSizeRange(item string) (sizeRange, error) {
 	r := sizeRange{share: 1}
 	bounds, share, hasShare := strings.Cut(item, "=")
@@ -83,6 +85,7 @@
 	return mean
 }
 
+// draw draws the number of tasks of a job.
 func (s Sizes) draw(rng *rand.Rand) int {
 	x := rng.Float64()
 	r := s.ranges[len(s.ranges)-1]
--- a/transport/loadgen/starts.go
+++ b/transport/loadgen/starts.go
@@ -11,47 +11,55 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// Backend is a stand-in backend server as a measurement sees it.
+// Backend is a client of a stand-in backend server.
 type Backend interface {
-	// Starts returns how often each task was started whose job's id begins so.
+	// Starts returns the number of starts of each task whose job's id has the
+	// prefix.
 	Starts(ctx context.Context, prefix string) (map[TaskKey]int, error)
+	// SetFaults replaces the faults that the stand-in injects.
 	SetFaults(ctx context.Context, f standin.Faults) error
 }
 
-// TaskName is a task as backend servers know it.
+// TaskKey identifies a task at backend servers: its job, the index of its step in
+// the job and its index within the step.
 type TaskKey struct {
 	Job         state.JobKey
 	Step, Index int
 }
 
-// maxFaults bounds how many faults a report spells out.
+// maxDiscrepancies is the maximum number of discrepancies that a report lists.
 const maxDiscrepancies = 10
 
-// countLimit bounds how long one backend server is asked for its counts.
+// countTimeout is the timeout of the request for the starts at one backend server.
 const countTimeout = 30 * time.Second
 
-// Starts is what the backend servers' own counts say of a run.
+// Starts is the result of comparing the task starts that the backend servers
+// counted with the answers to the callers.
 type Starts struct {
-	// Counted says that there were backend servers to ask and all have answered.
+	// Counted is true if there are backend servers and all have returned their
+	// counts.
 	Counted bool `json:"counted"`
-	// Tasks is how many starts there were, Backends how many at each.
+	// Tasks is the number of starts of tasks of the run's jobs, Backends the
+	// number of starts at each backend server.
 	Tasks    int   `json:"tasks"`
 	Backends []int `json:"backends"`
-	// Doubled are tasks that were started more than once; Lost were never
-	// started, and their job is complete; NotRun were started, and their job is
-	// "not run". All three are expected to be 0.
+	// Doubled is the number of tasks that were started more than once, Lost the
+	// number of tasks of complete jobs that were never started, and NotRun the
+	// number of started tasks of jobs that are "not run". All three must be 0.
 	Doubled int `json:"doubled"`
 	Lost    int `json:"lost"`
 	NotRun  int `json:"started_though_not_run"`
-	// Faults spells some of them out; Failure is why nothing was counted.
+	// Discrepancies describes some of these tasks. Failure is the error that
+	// prevented the counts from being read.
 	Discrepancies []string `json:"faults"`
 	Failure       string   `json:"failure,omitempty"`
 }
 
-// Failed is how many tasks were not as they should be.
+// Failed returns the number of tasks whose starts don't agree with the answers.
 func (s *Starts) Failed() int { return s.Doubled + s.Lost + s.NotRun }
 
-// reachable finds out before the run that a backend server can't be asked.
+// checkReachable returns an error if a backend server does not return its starts.
+// It is called before the run, so that the load is not generated in vain.
 func checkReachable(ctx context.Context, backends []Backend) error {
 	for i, b := range backends {
 		if _, err := b.Starts(ctx, placeholderRun); err != nil {
@@ -61,7 +69,8 @@
 	return nil
 }
 
-// countStarts holds what callers were told against what was started.
+// countStarts gets the starts from all backend servers and compares them with the
+// answers to the callers.
 func countStarts(ctx context.Context, backends []Backend, p *Plan, reports []*Report) Starts {
 	out := Starts{Discrepancies: []string{}, Backends: []int{}}
 	counts := make(map[state.JobKey]map[TaskKey]int)
@@ -92,9 +101,9 @@
 	return out
 }
 
-// compare looks at every job of a load: none of its tasks started twice on
-// whichever backend server, each of a complete job started, none of a job that
-// is "not run".
+// compare checks every job of a load: no task may have been started more than once
+// on all backend servers together, every task of a complete job must have been
+// started, and no task of a job that is "not run".
 func (s *Starts) compare(counts map[state.JobKey]map[TaskKey]int, r *Report) {
 	for i := range r.Rows {
 		row := &r.Rows[i]
@@ -118,6 +127,7 @@
 	}
 }
 
+// addDiscrepancy adds a discrepancy unless there are maxDiscrepancies already.
 func (s *Starts) addDiscrepancy(format string, args ...any) {
 	if len(s.Discrepancies) < maxDiscrepancies {
 		s.Discrepancies = append(s.Discrepancies, fmt.Sprintf(format, args...))
--- a/transport/loadgen/starts_test.go
+++ b/transport/loadgen/starts_test.go
@@ -8,9 +8,9 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// Callers are told one thing and the backend servers started another: a task
-// twice on two of them, none for a complete job, one for a job that is "not
-// run". Each must be found, and nothing in a run where all agrees.
+// The starts at the backend servers contradict the answers: a task is started twice,
+// a task of a complete job is not started, a task of a job that is "not run" is
+// started. Each must be found, and nothing in a run where starts and answers agree.
 func TestStartsAreComparedWithAnswers(t *testing.T) {
 	is := is.New(t)
 	complete, notRun, unknown := state.Complete.String(), state.NotRun.String(), state.Unknown.String()
--- a/transport/loadgen/steps.go
+++ b/transport/loadgen/steps.go
@@ -11,23 +11,25 @@
 	"github.com/shallotstep/shallotstep/transport/pause"
 )
 
-// healLimit bounds the call that ends a fault, also when the run was stopped.
+// clearFaultTimeout is the timeout of the call that clears a fault. The call is
+// made even if the run was stopped, so it needs a timeout of its own.
 const clearFaultTimeout = 10 * time.Second
 
-// StepResult is what came of a step.
+// StepResult is the result of a step.
 type StepResult struct {
 	Step Step `json:"step"`
-	// Detail tells what was done, Failure why it wasn't; a run with a failure
-	// hasn't been what its plan says.
+	// Detail describes what was done, Failure why the step failed. A measurement
+	// with a failed step does not correspond to its plan and has not passed.
 	Detail  string `json:"detail,omitempty"`
 	Failure string `json:"failure,omitempty"`
 }
 
-// steps carries out the steps of a plan. Each result is written by its own
-// event and read when all have ended.
+// stepRunner carries out the steps of a plan.
 type stepRunner struct {
-	target      Target
-	loads       []*loadRun
+	target Target
+	loads  []*loadRun
+	// stepResults has the result of each step. It needs no lock: each element is
+	// written only by the event of its step, and read after all events have ended.
 	stepResults []StepResult
 }
 
@@ -39,6 +41,7 @@
 	return s
 }
 
+// events returns one event for each step.
 func (s *stepRunner) events() []event {
 	var out []event
 	for i := range s.stepResults {
@@ -62,8 +65,9 @@
 	}
 }
 
-// cancelInFlight cancels all jobs that wait for their answers at once and
-// returns how many that were. One that is cancelled anyway is left alone.
+// cancelInFlight concurrently cancels all jobs that are waiting for their answers
+// and returns their number. It skips jobs with a planned cancellation and those
+// that an earlier step has cancelled.
 func (s *stepRunner) cancelInFlight(ctx context.Context, begin time.Time, due time.Duration) int {
 	var wg conc.WaitGroup
 	n := 0
@@ -81,8 +85,8 @@
 	return n
 }
 
-// fault makes a stand-in fail for a while. It is healed also when the run was
-// stopped meanwhile.
+// injectFault injects a fault at a stand-in for the duration of the step. The fault
+// is cleared even if the run is stopped in the meantime.
 func (s *stepRunner) injectFault(ctx context.Context, r *StepResult) {
 	b := s.target.Backends[r.Step.Backend-1]
 	if err := b.SetFaults(ctx, standinFaults[r.Step.Fault]); err != nil {
--- a/transport/loadgen/steps_test.go
+++ b/transport/loadgen/steps_test.go
@@ -13,7 +13,9 @@
 	"github.com/shallotstep/shallotstep/protocol/standin"
 )
 
-// fakeBackend has one stand-in that notes its faults, or doesn't take them.
+// fakeBackend is a stand-in backend server that records the faults it is set to. If
+// rejectsFaults is set, it returns an error instead. If countsFail is set, its
+// counts cannot be read after the first second.
 type fakeBackend struct {
 	begin         time.Time
 	counts        map[TaskKey]int
@@ -62,9 +64,10 @@
 	return &Plan{Loads: []Config{testConfig(t)}, Steps: steps, Backends: []string{"http://b"}}
 }
 
-// A wave cancels what waits at its moment, and neither what has been answered
-// nor what comes later. The fake entry says "cancelled" and answers all the
-// same, so that each job of the wave shows as one failed check.
+// The step must cancel the jobs that are waiting at its time, and neither those that
+// have been answered nor those that are due later. The fake entry answers
+// "cancelled" and still completes the job, so that each cancelled job is counted as
+// one failed check.
 func TestCancelInFlightStepCancelsWaitingJobs(t *testing.T) {
 	is := is.New(t)
 	at := 2 * time.Second
@@ -81,14 +84,15 @@
 	is.Equal(m.Loads[0].check(CheckCancel).Failed, want)
 }
 
-// A step that isn't carried out makes the run something else than its plan: it
+// A run with a step that could not be carried out does not correspond to its plan and
 // must not pass.
 func TestStepsThatFailFailTheRun(t *testing.T) {
 	is := is.New(t)
 	fault := Step{At: Duration(time.Second), Fault: FaultFailAll, Backend: 1, For: Duration(2 * time.Second)}
 	for _, rejects := range []bool{false, true} {
 		p := testPlan(t, fault)
-		// Nothing arrives that the counts would have to agree with.
+		// No jobs arrive. The fake stand-in counts no starts, so completed jobs would
+		// fail the run as well.
 		p.Loads[0].Phases = []Phase{{For: p.Loads[0].Length, Rate: 0}}
 		s := &fakeBackend{rejectsFaults: rejects}
 		m := measurePlan(t, p, s, &fakeEntry{})
@@ -100,8 +104,8 @@
 	}
 }
 
-// The counts of the backend servers decide on lost tasks, and counts that can't
-// be read decide nothing: such a run has not passed.
+// A run must not pass if tasks of complete jobs were not started at any backend
+// server, nor if the counts of a backend server can't be read.
 func TestLostTasksAndMissingCountsFailTheRun(t *testing.T) {
 	is := is.New(t)
 	m := measurePlan(t, testPlan(t), &fakeBackend{}, &fakeEntry{})
--- a/transport/loadgen/systemsize.go
+++ b/transport/loadgen/systemsize.go
@@ -11,37 +11,40 @@
 )
 
 const (
-	// roundTrips are those that a job can't do without: caller and entry, entry
-	// and owner, owner and store, owner and agent, agent and backend server.
+	// minRoundTrips is the number of round trips that every job needs: caller and
+	// entry, entry and owner, owner and store, owner and agent, agent and backend
+	// server.
 	minRoundTrips = 5
-	// probes is how many calls the round trip is taken from, the shortest of them.
+	// roundTripProbes is the number of calls whose shortest time is taken as the
+	// round trip.
 	roundTripProbes = 10
-	// settleLimit is how long slots that are still taken are waited for, and
-	// settleEvery how often they are looked at.
+	// freeSlotsTimeout is the maximum wait for occupied slots to become free
+	// before a run, freeSlotsPollInterval the interval between two status calls.
 	freeSlotsTimeout      = 5 * time.Second
 	freeSlotsPollInterval = 100 * time.Millisecond
 )
 
-// systemSize is how large the system is, by an entry's status before the run. A
-// core counts as a slot.
+// systemSize is the size of the part of the system that serves one service, from an
+// entry's status before the run. Each core counts as one slot.
 type systemSize struct {
 	agents, slots, free int
-	// trip is the shortest round trip between caller and entry.
+	// roundTrip is the shortest round trip between caller and entry.
 	roundTrip time.Duration
 }
 
-// sizeOf adds up the agents that serve the service. A load shows free slots late,
-// so slots that an earlier run held are waited for a while.
+// measureSystem returns the size of the system for a service. The status shows with
+// a delay that slots are free, so it waits up to freeSlotsTimeout for slots that an
+// earlier run occupied.
 func measureSystem(ctx context.Context, service string, entry Caller) (systemSize, error) {
 	var size systemSize
 	for begin := time.Now(); ; {
 		doc, f := entry.Status(ctx)
 		if f != nil {
-			return size, errors.Errorf("the entry's status: %s", f)
+			return size, errors.Errorf("get the entry's status: %s", f)
 		}
 		size = countSlots(doc, service)
 		if size.slots == 0 {
-			return size, errors.Errorf("the entry knows no slot of service %q", service)
+			return size, errors.Errorf("the entry's status has no slots of service %q", service)
 		}
 		if size.free >= size.slots || time.Since(begin) >= freeSlotsTimeout || pause.For(ctx, freeSlotsPollInterval) != nil {
 			break
@@ -52,6 +55,7 @@
 	return size, err
 }
 
+// countSlots adds up the slots of the agents that serve the service and accept work.
 func countSlots(doc api.Status, service string) systemSize {
 	var size systemSize
 	for i := range doc.Agents {
@@ -65,12 +69,13 @@
 	return size
 }
 
+// measureRoundTrip returns the shortest time of several status calls.
 func measureRoundTrip(ctx context.Context, entry Caller) (time.Duration, error) {
 	shortest := time.Duration(0)
 	for i := range roundTripProbes {
 		begin := time.Now()
 		if _, f := entry.Status(ctx); f != nil {
-			return 0, errors.Errorf("the entry's status: %s", f)
+			return 0, errors.Errorf("get the entry's status: %s", f)
 		}
 		if took := time.Since(begin); i == 0 || took < shortest {
 			shortest = took
