--- a/transport/loadgen/check_test.go
+++ b/transport/loadgen/check_test.go
@@ -19,7 +19,7 @@
 func TestCorrectAnswersPass(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
-	c.Resubmit = 0.5
+	c.ResubmitShare = 0.5
 	r := run(t, c, &fakeEntry{})
 	is.True(r.Passed())
 	is.True(r.Resubmissions.Sent > r.Jobs/3)
@@ -86,7 +86,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := testConfig(t)
-			c.Resubmit = 1
+			c.ResubmitShare = 1
 			r := run(t, c, &fakeEntry{corrupt: tc.corrupt})
 			is.True(!r.Passed())
 			is.True(r.check(tc.check).Failed > 0)
@@ -101,7 +101,7 @@
 func TestNotRunCoversOnlyEarlierSubmissions(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
-	c.Resubmit = 1
+	c.ResubmitShare = 1
 	e := &fakeEntry{corrupt: func(_ string, n int, a *api.Answer) *httpclient.Failure {
 		if n > 0 {
 			return nil
@@ -126,7 +126,7 @@
 func TestCancelledAndCompleteIsCaught(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
-	c.Cancel = 0.3
+	c.CancelShare = 0.3
 	r := run(t, c, &fakeEntry{})
 	is.True(r.Cancellations.Cancelled > 0)
 	is.Equal(r.check(CheckCancel).Failed, r.Cancellations.Cancelled)
@@ -138,7 +138,7 @@
 func TestUnknownOutcomeMatchesAnyOther(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
-	c.Resubmit = 1
+	c.ResubmitShare = 1
 	e := &fakeEntry{corrupt: func(_ string, n int, a *api.Answer) *httpclient.Failure {
 		if n == 0 {
 			return nil
--- a/transport/loadgen/config.go
+++ b/transport/loadgen/config.go
@@ -33,20 +33,20 @@
 // maxJobs is the maximum number of jobs in a run. It bounds the memory used.
 const maxJobs = 1_000_000
 
-// maxLoad is the maximum of Config.Load. At 10 times the capacity of the slots
+// maxLoadShare is the maximum of Config.LoadShare. At 10 times the capacity of the slots
 // hardly any job meets its deadline.
-const maxLoad = 10
+const maxLoadShare = 10
 
 // Config configures one load.
 type Config struct {
 	Service string `json:"service"`
-	// Exactly one of TasksPerSecond, JobsPerSecond and Load is set. The first
-	// two are mean arrival rates; the number of jobs is random. Load is the
+	// Exactly one of TasksPerSecond, JobsPerSecond and LoadShare is set. The first
+	// two are mean arrival rates; the number of jobs is random. LoadShare is the
 	// total run time of the arriving tasks, as a share of the capacity of all
 	// slots during Length; it is exceeded by less than one job.
 	TasksPerSecond float64 `json:"tasks_per_second,omitempty"`
 	JobsPerSecond  float64 `json:"jobs_per_second,omitempty"`
-	Load           float64 `json:"load_share,omitempty"`
+	LoadShare      float64 `json:"load_share,omitempty"`
 	// Sizes is the distribution of the number of tasks per job, Mix that of the
 	// kinds and run times of tasks.
 	Sizes Sizes `json:"tasks_per_job"`
@@ -60,12 +60,12 @@
 	// Seed seeds the random arrivals, sizes and run times. The same seed gives
 	// the same load.
 	Seed uint64 `json:"seed"`
-	// Resubmit is the share of jobs that are submitted twice with the same id,
-	// the second time through another entry if there is one. Cancel is the
+	// ResubmitShare is the share of jobs that are submitted twice with the same id,
+	// the second time through another entry if there is one. CancelShare is the
 	// share of jobs that are cancelled. No job is both resubmitted and cancelled.
-	Resubmit float64 `json:"resubmit_share"`
-	Cancel   float64 `json:"cancel_share"`
-	// Phases change the arrival rate for a part of the run. The rates and Load
+	ResubmitShare float64 `json:"resubmit_share"`
+	CancelShare   float64 `json:"cancel_share"`
+	// Phases change the arrival rate for a part of the run. The rates and LoadShare
 	// apply outside of the phases. Phases are in order and don't overlap.
 	Phases []Phase `json:"phases,omitempty"`
 	// Stream selects the random stream of Seed, so that the loads of a plan are
@@ -110,13 +110,13 @@
 		return &fieldError{"service", "no service is named"}
 	case !c.hasOneRate():
 		return &fieldError{"", "one of tasks_per_second, jobs_per_second and load_percent must be above zero, and the others not given"}
-	case c.Load > maxLoad:
+	case c.LoadShare > maxLoadShare:
 		return &fieldError{"load_percent", "the load is above 10 times all slots"}
-	case c.Load > 0 && c.Mix.Mean() <= 0:
+	case c.LoadShare > 0 && c.Mix.Mean() <= 0:
 		return &fieldError{"load_percent", "a load needs tasks that take time"}
 	case c.Deadline.D() < 0:
 		return &fieldError{"deadline", "the deadline is below zero"}
-	case !(c.Resubmit >= 0) || !(c.Cancel >= 0) || c.Resubmit+c.Cancel > 1:
+	case !(c.ResubmitShare >= 0) || !(c.CancelShare >= 0) || c.ResubmitShare+c.CancelShare > 1:
 		return &fieldError{"resubmit_share", "the shares of resubmissions and cancellations must be from 0 to 1, and so must their sum"}
 	case len(c.Sizes.ranges) == 0 || len(c.Mix.Kinds) == 0:
 		return &fieldError{"mix", "the tasks per job or the mix are missing"}
@@ -124,11 +124,11 @@
 	return nil
 }
 
-// hasOneRate reports whether exactly one of the rates and Load is above zero and
+// hasOneRate reports whether exactly one of the rates and LoadShare is above zero and
 // none is negative or NaN.
 func (c *Config) hasOneRate() bool {
 	set := 0
-	for _, v := range []float64{c.TasksPerSecond, c.JobsPerSecond, c.Load} {
+	for _, v := range []float64{c.TasksPerSecond, c.JobsPerSecond, c.LoadShare} {
 		if v < 0 || math.IsNaN(v) {
 			return false
 		}
@@ -139,7 +139,7 @@
 	return set == 1
 }
 
-// jobRate returns the mean number of jobs per second, or zero if Load is set.
+// jobRate returns the mean number of jobs per second, or zero if LoadShare is set.
 func (c *Config) jobRate() float64 {
 	if c.JobsPerSecond > 0 {
 		return c.JobsPerSecond
--- a/transport/loadgen/jobs.go
+++ b/transport/loadgen/jobs.go
@@ -31,12 +31,12 @@
 }
 
 // drawJobs draws the jobs of a run on a system with the given number of slots.
-// Arrivals are a Poisson process; if Load is set, one that is conditioned on the
+// Arrivals are a Poisson process; if LoadShare is set, one that is conditioned on the
 // total run time of its tasks.
 func drawJobs(c *Config, slots int) []plannedJob {
 	rng := rand.New(rand.NewPCG(c.Seed, c.Stream))
 	profile := newRateProfile(c.Length.D(), c.Phases)
-	if c.Load > 0 {
+	if c.LoadShare > 0 {
 		return c.drawJobsForLoad(rng, profile, slots)
 	}
 	rate := c.jobRate()
@@ -55,7 +55,7 @@
 // Poisson process with a given number of arrivals.
 func (c *Config) drawJobsForLoad(rng *rand.Rand, profile rateProfile, slots int) []plannedJob {
 	total := profile.nominalLength()
-	left := time.Duration(c.Load * float64(slots) * float64(total))
+	left := time.Duration(c.LoadShare * float64(slots) * float64(total))
 	var jobs []plannedJob
 	for left > 0 && len(jobs) < maxJobs {
 		due := profile.runTime(time.Duration(rng.Int64N(int64(total))))
@@ -86,9 +86,9 @@
 	// longest run time, so that about half of them come before the answer.
 	later := due + time.Duration(rng.Float64()*2*float64(longest)) + 1
 	switch {
-	case u < c.Resubmit:
+	case u < c.ResubmitShare:
 		j.resubmitAt = later
-	case u < c.Resubmit+c.Cancel:
+	case u < c.ResubmitShare+c.CancelShare:
 		j.cancelAt = later
 	}
 	return j
--- a/transport/loadgen/jobs_test.go
+++ b/transport/loadgen/jobs_test.go
@@ -43,7 +43,7 @@
 		c := testConfig(t)
 		c.JobsPerSecond, c.TasksPerSecond = 0, 500
 		c.Length = Duration(MaxLength)
-		c.Resubmit, c.Cancel = 0.2, 0.1
+		c.ResubmitShare, c.CancelShare = 0.2, 0.1
 		var err error
 		c.Mix, err = ParseMix(name, 0)
 		is.NoErr(err)
@@ -90,7 +90,7 @@
 	const slots = 88
 	for seed := range uint64(20) {
 		c := testConfig(t)
-		c.JobsPerSecond, c.Load, c.Seed = 0, 0.95, seed
+		c.JobsPerSecond, c.LoadShare, c.Seed = 0, 0.95, seed
 		is.NoErr(c.Validate())
 		var work, last time.Duration
 		ids := make(map[string]bool)
@@ -120,11 +120,11 @@
 		func(c *Config) { c.Service = "" },
 		func(c *Config) { c.TasksPerSecond = 1 },
 		func(c *Config) { c.JobsPerSecond = 0 },
-		func(c *Config) { c.Load = 0.5 },
-		func(c *Config) { c.JobsPerSecond, c.Load = 0, maxLoad+1 },
+		func(c *Config) { c.LoadShare = 0.5 },
+		func(c *Config) { c.JobsPerSecond, c.LoadShare = 0, maxLoadShare+1 },
 		func(c *Config) { c.JobsPerSecond = math.NaN() },
 		func(c *Config) { c.Length = Duration(MaxLength + 1) },
-		func(c *Config) { c.Resubmit, c.Cancel = 0.6, 0.6 },
+		func(c *Config) { c.ResubmitShare, c.CancelShare = 0.6, 0.6 },
 		func(c *Config) { c.JobsPerSecond = 1e9 },
 		func(c *Config) { c.Run = strings.Repeat("x", state.MaxIDLength) },
 	} {
--- a/transport/loadgen/plan_test.go
+++ b/transport/loadgen/plan_test.go
@@ -32,7 +32,7 @@
 	is.NoErr(err)
 	is.Equal(len(p.Loads), 2)
 	is.Equal([]string{p.Loads[0].Service, p.Loads[1].Service}, []string{"bench-desk", "yard-logbook"})
-	is.Equal([]any{p.Loads[0].Load, p.Loads[1].Seed, p.Loads[1].Stream}, []any{0.6, uint64(7), uint64(1)})
+	is.Equal([]any{p.Loads[0].LoadShare, p.Loads[1].Seed, p.Loads[1].Stream}, []any{0.6, uint64(7), uint64(1)})
 	is.Equal(p.Loads[1].TokenFile, "dir/token")
 	is.Equal(p.Steps[1], Step{At: Duration(7 * time.Second), Fault: FaultFailAll, Backend: 2, For: Duration(3 * time.Second)})
 	for _, c := range []struct{ from, to, want string }{
@@ -70,7 +70,7 @@
 	is := is.New(t)
 	for _, setRate := range []func(*Config){
 		func(c *Config) { c.JobsPerSecond = 50 },
-		func(c *Config) { c.JobsPerSecond, c.Load = 0, 0.5 },
+		func(c *Config) { c.JobsPerSecond, c.LoadShare = 0, 0.5 },
 	} {
 		c := testConfig(t)
 		setRate(&c)
--- a/transport/loadgen/planfile.go
+++ b/transport/loadgen/planfile.go
@@ -161,8 +161,8 @@
 	const percent = 100
 	c := Config{
 		Service: f.Service, TokenFile: resolvePath(dir, f.TokenFile),
-		TasksPerSecond: f.TasksPerSecond, JobsPerSecond: f.JobsPerSecond, Load: f.LoadPercent / percent,
-		Deadline: Duration(f.Deadline), Resubmit: f.ResubmitShare, Cancel: f.CancelShare,
+		TasksPerSecond: f.TasksPerSecond, JobsPerSecond: f.JobsPerSecond, LoadShare: f.LoadPercent / percent,
+		Deadline: Duration(f.Deadline), ResubmitShare: f.ResubmitShare, CancelShare: f.CancelShare,
 	}
 	mix, tasks := f.Mix, f.TasksPerJob
 	if mix == "" {
