--- a/transport/loadgen/check_test.go
+++ b/transport/loadgen/check_test.go
@@ -16,10 +16,10 @@
 	"github.com/shallotstep/shallotstep/transport/httpclient"
 )
 
-func TestRightAnswersPass(t *testing.T) {
+func TestCorrectAnswersPass(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
-	c.Resubmit = 0.5
+	c.ResubmitShare = 0.5
 	r := run(t, c, &fakeEntry{})
 	is.True(r.Passed())
 	is.True(r.Resubmissions.Sent > r.Jobs/3)
@@ -27,20 +27,20 @@
 	is.Equal(r.check(CheckSame), Check{CheckSame, r.Resubmissions.Sent, 0})
 	is.Equal(r.check(CheckWhole).Made, r.Jobs+r.Resubmissions.Sent)
 	is.Equal(r.check(CheckCancel).Made, 0)
-	is.Equal([]int{r.Agents, r.Slots}, []int{1, 8}) // those that take no work and foreign ones don't count
+	is.Equal([]int{r.Agents, r.Slots}, []int{1, 8}) // agents that accept no work and those of other services don't count
 	is.Equal(r.Ratio.Max, 1.0)
 }
 
-// Entries that mix up, cut or double what they answer, each in its own way. The
-// client refuses some of these answers by itself; the report must still say
-// that the entry sent them, and the run must not pass.
-func TestBentAnswersAreCaught(t *testing.T) {
+// Each entry truncates, duplicates or mixes up its answers in a different way. The
+// client rejects some of these answers itself; the report must still show that the
+// entry sent them, and the run must not pass.
+func TestIncorrectAnswersFailTheChecks(t *testing.T) {
 	refused := func(outcome state.Outcome) *httpclient.Failure {
 		return &httpclient.Failure{Outcome: outcome, Problem: api.NewProblem(state.ReasonBusy, outcome, "")}
 	}
-	for name, bent := range map[string]struct {
-		check CheckName
-		bend  func(id string, n int, a *api.Answer) *httpclient.Failure
+	for name, tc := range map[string]struct {
+		check   CheckName
+		corrupt func(id string, n int, a *api.Answer) *httpclient.Failure
 	}{
 		"cut":     {CheckWhole, func(_ string, _ int, a *api.Answer) *httpclient.Failure { a.Results = a.Results[:1]; return nil }},
 		"pending": {CheckWhole, func(_ string, _ int, a *api.Answer) *httpclient.Failure { a.Outcome = 0; a.Results = nil; return nil }},
@@ -86,23 +86,23 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := testConfig(t)
-			c.Resubmit = 1
-			r := run(t, c, &fakeEntry{bend: bent.bend})
+			c.ResubmitShare = 1
+			r := run(t, c, &fakeEntry{corrupt: tc.corrupt})
 			is.True(!r.Passed())
-			is.True(r.check(bent.check).Failed > 0)
+			is.True(r.check(tc.check).Failed > 0)
 			is.Equal(len(r.Violations), maxViolations)
 		})
 	}
 }
 
-// An entry refuses every first submission as not run and runs every second one.
-// Where the second was sent after the refusal had come that is how it should be;
-// where it was on its way before, two callers are told two things of one id.
-func TestNotRunSpeaksOfWhatWasSentBefore(t *testing.T) {
+// An entry answers every first submission with "not run" and runs every second one.
+// That is correct if the second submission was sent after the first was answered.
+// If it was sent before, the two answers about the same id contradict each other.
+func TestNotRunCoversOnlyEarlierSubmissions(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
-	c.Resubmit = 1
-	e := &fakeEntry{bend: func(_ string, n int, a *api.Answer) *httpclient.Failure {
+	c.ResubmitShare = 1
+	e := &fakeEntry{corrupt: func(_ string, n int, a *api.Answer) *httpclient.Failure {
 		if n > 0 {
 			return nil
 		}
@@ -110,36 +110,36 @@
 		return &httpclient.Failure{Outcome: state.NotRun, Problem: api.NewProblem(state.ReasonOverload, state.NotRun, "")}
 	}}
 	r := run(t, c, e)
-	anew := 0
+	runAfterNotRun := 0
 	for _, row := range r.Rows {
 		is.Equal(row.Outcome, "not_run")
 		if row.Settled == "complete" {
-			anew++
+			runAfterNotRun++
 		}
 	}
-	is.True(anew > 0 && anew < r.Jobs)
-	is.Equal(r.check(CheckNotRun), Check{CheckNotRun, r.Jobs, r.Jobs - anew})
+	is.True(runAfterNotRun > 0 && runAfterNotRun < r.Jobs)
+	is.Equal(r.check(CheckNotRun), Check{CheckNotRun, r.Jobs, r.Jobs - runAfterNotRun})
 }
 
-// The entry tells one caller that the job is cancelled and the other that it is
-// complete.
+// The entry answers a cancellation with "cancelled" and the submission of the same
+// job with "complete". The check must fail for each such job.
 func TestCancelledAndCompleteIsCaught(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
-	c.Cancel = 0.3
+	c.CancelShare = 0.3
 	r := run(t, c, &fakeEntry{})
 	is.True(r.Cancellations.Cancelled > 0)
 	is.Equal(r.check(CheckCancel).Failed, r.Cancellations.Cancelled)
 	is.True(!r.Passed())
 }
 
-// A second submission whose outcome the caller doesn't know agrees with any
-// first one, and a reply that broke off on the way is no fault of the entry's.
-func TestUnknownIsNoContradiction(t *testing.T) {
+// A second submission with an unknown outcome is consistent with any first answer,
+// and a reply that is lost on the way is not a fault of the entry.
+func TestUnknownOutcomeMatchesAnyOther(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
-	c.Resubmit = 1
-	e := &fakeEntry{bend: func(_ string, n int, a *api.Answer) *httpclient.Failure {
+	c.ResubmitShare = 1
+	e := &fakeEntry{corrupt: func(_ string, n int, a *api.Answer) *httpclient.Failure {
 		if n == 0 {
 			return nil
 		}
@@ -151,8 +151,8 @@
 	is.Equal(r.Resubmissions.Compared, 0)
 }
 
-// Over real HTTP, a reply with a status of 200 that is no JSON document was
-// truncated or mixed up by the entry.
+// Over HTTP, an entry answers with status 200 and a truncated JSON document. The
+// check must count it as a fault of the entry and not as a lost reply.
 func TestUnreadableReplyIsCaught(t *testing.T) {
 	is := is.New(t)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
--- a/transport/loadgen/draw_test.go
+++ b/transport/loadgen/jobs_test.go
@@ -18,23 +18,23 @@
 
 func TestIdealAndPacked(t *testing.T) {
 	is := is.New(t)
-	job := func(at time.Duration, runs ...time.Duration) planned {
-		j := planned{at: at}
+	job := func(at time.Duration, runs ...time.Duration) plannedJob {
+		j := plannedJob{due: at}
 		for _, run := range runs {
-			j.tasks = append(j.tasks, plannedTask{run: run})
+			j.tasks = append(j.tasks, plannedTask{runTime: run})
 		}
 		return j
 	}
 	long := job(0, 3, 1, 1, 1)
-	is.Equal(long.ideal(systemSize{free: 2}), time.Duration(3)) // longest and spread alike
+	is.Equal(long.idealResponse(systemSize{free: 2}), time.Duration(3)) // the longest task takes as long as the work divided by the slots
 	wide := job(0, 2, 2, 2, 2)
-	is.Equal(wide.ideal(systemSize{slots: 8, free: 2}), time.Duration(4)) // spread over the free slots
-	is.Equal(wide.ideal(systemSize{free: 8}), time.Duration(2))           // longest
-	is.Equal(wide.ideal(systemSize{free: 8, trip: 1}), time.Duration(7))  // and five round trips
-	// Two slots: the first job holds them until 2 and 3, the second until 6 and
-	// 7, and the third finds both free.
-	jobs := []planned{job(0, 2, 3), job(1, 4, 4), job(10, 5)}
-	is.Equal(packed(jobs, 2), []time.Duration{3, 6, 5})
+	is.Equal(wide.idealResponse(systemSize{slots: 8, free: 2}), time.Duration(4))     // work divided by the free slots
+	is.Equal(wide.idealResponse(systemSize{free: 8}), time.Duration(2))               // the longest task
+	is.Equal(wide.idealResponse(systemSize{free: 8, roundTrip: 1}), time.Duration(7)) // plus five round trips
+	// Two slots: the first job occupies them until 2 and 3, the second until 6
+	// and 7, and both are free when the third arrives.
+	jobs := []plannedJob{job(0, 2, 3), job(1, 4, 4), job(10, 5)}
+	is.Equal(packedResponses(jobs, 2), []time.Duration{3, 6, 5})
 }
 
 func TestPlanKeepsRateMixAndSeed(t *testing.T) {
@@ -43,61 +43,62 @@
 		c := testConfig(t)
 		c.JobsPerSecond, c.TasksPerSecond = 0, 500
 		c.Length = Duration(MaxLength)
-		c.Resubmit, c.Cancel = 0.2, 0.1
+		c.ResubmitShare, c.CancelShare = 0.2, 0.1
 		var err error
 		c.Mix, err = ParseMix(name, 0)
 		is.NoErr(err)
 		c.Sizes, err = ParseSizes(DefaultTasks)
 		is.NoErr(err)
-		is.NoErr(c.Check())
-		plan := newPlan(&c, 88)
-		var tasks, long, again, cancel int
+		is.NoErr(c.Validate())
+		plan := drawJobs(&c, 88)
+		var tasks, long, resubmitted, cancelled int
 		var work time.Duration
 		for i := range plan {
 			j := &plan[i]
 			tasks += len(j.tasks)
 			work += j.work()
 			for _, task := range j.tasks {
-				is.True(task.run >= 50*time.Millisecond && task.run <= 8*time.Second)
-				if task.run > time.Second {
+				is.True(task.runTime >= 50*time.Millisecond && task.runTime <= 8*time.Second)
+				if task.runTime > time.Second {
 					long++
 				}
 			}
-			if j.again > 0 {
-				again++
+			if j.resubmitAt > 0 {
+				resubmitted++
 			}
-			if j.cancel > 0 {
-				cancel++
+			if j.cancelAt > 0 {
+				cancelled++
 			}
 		}
-		close := func(got, want float64) { is.True(math.Abs(got/want-1) < 0.1) }
-		close(float64(tasks)/MaxLength.Seconds(), 500)
-		close(work.Seconds()/float64(tasks), c.Mix.Mean().Seconds())
-		close(float64(again)/float64(len(plan)), 0.2)
-		close(float64(cancel)/float64(len(plan)), 0.1)
+		approx := func(got, want float64) { is.True(math.Abs(got/want-1) < 0.1) }
+		approx(float64(tasks)/MaxLength.Seconds(), 500)
+		approx(work.Seconds()/float64(tasks), c.Mix.Mean().Seconds())
+		approx(float64(resubmitted)/float64(len(plan)), 0.2)
+		approx(float64(cancelled)/float64(len(plan)), 0.1)
 		is.True(long > 0 && long < tasks/50) // a few
-		is.Equal(len(newPlan(&c, 88)), len(plan))
+		is.Equal(len(drawJobs(&c, 88)), len(plan))
 		c.Seed++
-		is.True(len(newPlan(&c, 88)) != len(plan))
+		is.True(len(drawJobs(&c, 88)) != len(plan))
 	}
 }
 
-// A load in shares of the slots must be what arrives, whatever the lots give:
-// a run that is called 95 % and offers 89 % flatters the system.
+// The work that arrives must match the configured share of the slots for every
+// seed. A run that is reported as 95 % and offers only 89 % makes the system look
+// better than it is.
 func TestLoadIsMet(t *testing.T) {
 	is := is.New(t)
 	const slots = 88
 	for seed := range uint64(20) {
 		c := testConfig(t)
-		c.JobsPerSecond, c.Load, c.Seed = 0, 0.95, seed
-		is.NoErr(c.Check())
+		c.JobsPerSecond, c.LoadShare, c.Seed = 0, 0.95, seed
+		is.NoErr(c.Validate())
 		var work, last time.Duration
 		ids := make(map[string]bool)
-		for _, j := range newPlan(&c, slots) {
+		for _, j := range drawJobs(&c, slots) {
 			work += j.work()
 			ids[j.id] = true
-			is.True(j.at >= last && j.at < c.Length.D())
-			last = j.at
+			is.True(j.due >= last && j.due < c.Length.D())
+			last = j.due
 			for i := range j.tasks {
 				is.True(strings.HasPrefix(j.echo(i), j.id+"/"))
 			}
@@ -115,27 +116,27 @@
 	}
 	_, err := ParseMix("other", 0)
 	is.True(err != nil)
-	for _, spoil := range []func(*Config){
+	for _, invalidate := range []func(*Config){
 		func(c *Config) { c.Service = "" },
 		func(c *Config) { c.TasksPerSecond = 1 },
 		func(c *Config) { c.JobsPerSecond = 0 },
-		func(c *Config) { c.Load = 0.5 },
-		func(c *Config) { c.JobsPerSecond, c.Load = 0, maxLoad+1 },
+		func(c *Config) { c.LoadShare = 0.5 },
+		func(c *Config) { c.JobsPerSecond, c.LoadShare = 0, maxLoadShare+1 },
 		func(c *Config) { c.JobsPerSecond = math.NaN() },
 		func(c *Config) { c.Length = Duration(MaxLength + 1) },
-		func(c *Config) { c.Resubmit, c.Cancel = 0.6, 0.6 },
+		func(c *Config) { c.ResubmitShare, c.CancelShare = 0.6, 0.6 },
 		func(c *Config) { c.JobsPerSecond = 1e9 },
 		func(c *Config) { c.Run = strings.Repeat("x", state.MaxIDLength) },
 	} {
 		c := testConfig(t)
-		spoil(&c)
-		is.True(c.Check() != nil) // refused
+		invalidate(&c)
+		is.True(c.Validate() != nil) // refused
 	}
 	empty := &fakeEntry{}
 	c := testConfig(t)
 	c.Service = "unknown"
 	_, err = measureOne(context.Background(), c, empty)
-	is.True(err != nil) // no slot to measure against
+	is.True(err != nil) // the service has no slots
 }
 
 func readFile(t *testing.T, path string) string {
@@ -147,28 +148,28 @@
 	return string(body)
 }
 
-func TestReportSurvivesItsFileAndIsCompared(t *testing.T) {
+func TestReportRoundTripAndComparison(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
 	a := run(t, c, &fakeEntry{})
 	c.Seed = 2
-	b := run(t, c, &fakeEntry{stalled: time.Now().Add(time.Second)})
+	b := run(t, c, &fakeEntry{stalledUntil: time.Now().Add(time.Second)})
 	dir := t.TempDir()
 	path := filepath.Join(dir, "a.json")
-	is.NoErr(alone(a).Write(path))
+	is.NoErr(singleLoadMeasurement(a).Write(path))
 	back, err := Read(path)
 	is.NoErr(err)
 	again := filepath.Join(dir, "again.json")
 	is.NoErr(back.Write(again))
-	is.Equal(readFile(t, again), readFile(t, path)) // nothing is lost beyond the file's microseconds
+	is.Equal(readFile(t, again), readFile(t, path)) // the file only rounds to microseconds
 	is.Equal(back.Loads[0].Response, a.Response)
 	is.Equal(back.Loads[0].Config.jobRate(), a.Config.jobRate())
 	_, err = Read(filepath.Join(dir, "none"))
 	is.True(err != nil)
 
-	diff := Compare(alone(a), alone(b))
+	diff := Compare(singleLoadMeasurement(a), singleLoadMeasurement(b))
 	is.True(diff.Passed)
-	is.Equal(diff.Unlike, []string{"seed: 1, 2"})
+	is.Equal(diff.Mismatches, []string{"seed: 1, 2"})
 	last := diff.Differences[len(diff.Differences)-1]
 	by, ok := last.Change()
 	is.True(ok)
@@ -177,11 +178,11 @@
 	diff.Print(&out)
 	is.True(strings.Contains(out.String(), last.Name))
 
-	is.NoErr(alone(a).Plot(filepath.Join(dir, "a.png")))
+	is.NoErr(singleLoadMeasurement(a).Plot(filepath.Join(dir, "a.png")))
 	file, err := os.Open(filepath.Join(dir, "a.png"))
 	is.NoErr(err)
 	defer file.Close()
 	_, err = png.DecodeConfig(file)
 	is.NoErr(err)
-	is.NoErr(alone(&Report{}).Plot(filepath.Join(dir, "empty.png")))
+	is.NoErr(singleLoadMeasurement(&Report{}).Plot(filepath.Join(dir, "empty.png")))
 }
--- a/transport/loadgen/plan_test.go
+++ b/transport/loadgen/plan_test.go
@@ -26,13 +26,13 @@
   ],
 }`
 
-func TestPlanIsReadAndEachFaultHasItsPlace(t *testing.T) {
+func TestParsePlanErrorsNameLineAndKey(t *testing.T) {
 	is := is.New(t)
 	p, err := ParsePlan("dir/plan.json", []byte(goodPlan))
 	is.NoErr(err)
 	is.Equal(len(p.Loads), 2)
 	is.Equal([]string{p.Loads[0].Service, p.Loads[1].Service}, []string{"bench-desk", "yard-logbook"})
-	is.Equal([]any{p.Loads[0].Load, p.Loads[1].Seed, p.Loads[1].Stream}, []any{0.6, uint64(7), uint64(1)})
+	is.Equal([]any{p.Loads[0].LoadShare, p.Loads[1].Seed, p.Loads[1].Stream}, []any{0.6, uint64(7), uint64(1)})
 	is.Equal(p.Loads[1].TokenFile, "dir/token")
 	is.Equal(p.Steps[1], Step{At: Duration(7 * time.Second), Fault: FaultFailAll, Backend: 2, For: Duration(3 * time.Second)})
 	for _, c := range []struct{ from, to, want string }{
@@ -63,22 +63,23 @@
 	}
 }
 
-// A burst of four times the rate for a quarter of the run: that much must arrive
-// in it, as a rate and as a load, and nothing in a phase without arrivals.
+// A phase with four times the rate for a quarter of the run must have about four
+// times the arrivals, whether the load is given as a rate or as a share of the
+// slots, and a phase with rate 0 must have none.
 func TestPhasesChangeTheArrivals(t *testing.T) {
 	is := is.New(t)
-	for _, spoil := range []func(*Config){
+	for _, setRate := range []func(*Config){
 		func(c *Config) { c.JobsPerSecond = 50 },
-		func(c *Config) { c.JobsPerSecond, c.Load = 0, 0.5 },
+		func(c *Config) { c.JobsPerSecond, c.LoadShare = 0, 0.5 },
 	} {
 		c := testConfig(t)
-		spoil(&c)
+		setRate(&c)
 		c.Length = Duration(40 * time.Second)
 		c.Phases = []Phase{{Duration(10 * time.Second), Duration(10 * time.Second), 4}, {Duration(30 * time.Second), Duration(5 * time.Second), 0}}
-		is.NoErr(c.Check())
+		is.NoErr(c.Validate())
 		var quiet, burst, none int
-		for _, j := range newPlan(&c, 88) {
-			switch at := j.at; {
+		for _, j := range drawJobs(&c, 88) {
+			switch at := j.due; {
 			case at >= c.Length.D():
 				t.Fatal("after the run")
 			case at >= 10*time.Second && at < 20*time.Second:
--- a/transport/loadgen/plot.go
+++ b/transport/loadgen/plot.go
@@ -18,14 +18,15 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// The look of the plots.
+// Dimensions of the plots.
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 12 * vg.Centimeter
 	dotRadius  = 1.5 * vg.Millimeter / 2
 	plotMargin = 4 * vg.Millimeter
-	// leastMS keeps zero off the logarithmic axes.
-	leastMS = 1
+	// minPlotMS is the smallest value on a logarithmic axis, which cannot show
+	// zero.
+	minPlotMS = 1
 )
 
 var (
@@ -34,31 +35,31 @@
 	idealColor    = color.NRGBA{G: 130, A: 255}
 )
 
-// Plot writes two plots for each load into one file, SVG or PNG by its name:
-// each job's response against its ideal, and the response over the time at which
-// the job was due.
+// Plot writes two plots for each load to one file, SVG or PNG by its extension: the
+// response time of each job over its ideal response time, and over the time at
+// which the job was due.
 func (m *Measurement) Plot(path string) error {
 	var plots []*plot.Plot
 	for _, r := range m.Loads {
-		against, err := r.againstIdeal()
+		byIdeal, err := r.responseAgainstIdeal()
 		if err != nil {
 			return errors.Wrap(err, "plot")
 		}
-		over, err := r.overTime()
+		byDue, err := r.responseOverTime()
 		if err != nil {
 			return errors.Wrap(err, "plot")
 		}
-		plots = append(plots, against, over)
+		plots = append(plots, byIdeal, byDue)
 	}
 	return savePlots(path, plots)
 }
 
-// savePlots writes plots one below the other into one file.
+// savePlots writes plots to one file, one below the other.
 func savePlots(path string, plots []*plot.Plot) error {
 	format := strings.TrimPrefix(filepath.Ext(path), ".")
 	canvas, err := draw.NewFormattedCanvas(plotWidth, vg.Length(len(plots))*plotHeight, format)
 	if err != nil {
-		return errors.Wrapf(err, "plot %s: the name ends in .svg or .png", path)
+		return errors.Wrapf(err, "plot %s: the file name must end in .svg or .png", path)
 	}
 	tiles := draw.Tiles{
 		Rows: len(plots), Cols: 1,
@@ -73,26 +74,28 @@
 		return errors.Wrap(err, "plot")
 	}
 	_, err = canvas.WriteTo(file)
-	if shut := file.Close(); err == nil {
-		err = shut
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	return errors.Wrap(err, "plot")
 }
 
-// points returns x and the response of complete jobs and of the others.
+// points returns a point for each job, with x from the function and the response
+// time as y. Jobs that are not complete are returned separately.
 func (r *Report) points(x func(*Row) float64) (complete, other plotter.XYs) {
 	for i := range r.Rows {
 		row := &r.Rows[i]
-		at := plotter.XY{X: x(row), Y: max(leastMS, milliseconds(row.Response.D()))}
+		point := plotter.XY{X: x(row), Y: max(minPlotMS, milliseconds(row.Response.D()))}
 		if row.Outcome == state.Complete.String() {
-			complete = append(complete, at)
+			complete = append(complete, point)
 		} else {
-			other = append(other, at)
+			other = append(other, point)
 		}
 	}
 	return complete, other
 }
 
+// scatter adds points and their legend to a plot.
 func scatter(p *plot.Plot, name string, points plotter.XYs, c color.Color) error {
 	if len(points) == 0 {
 		return nil
@@ -107,43 +110,49 @@
 	return nil
 }
 
-func (r *Report) newPlot(title, x string, at func(*Row) float64) (*plot.Plot, error) {
+// newPlot returns a scatter plot of response times over xValue, with a logarithmic
+// y axis.
+func (r *Report) newPlot(title, xLabel string, xValue func(*Row) float64) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = title
-	p.X.Label.Text = x
+	p.X.Label.Text = xLabel
 	p.Y.Label.Text = "response, ms"
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Add(plotter.NewGrid())
-	complete, other := r.points(at)
+	complete, other := r.points(xValue)
 	if err := scatter(p, "complete", complete, completeColor); err != nil {
 		return nil, err
 	}
 	if err := scatter(p, "refused, failed or unknown", other, otherColor); err != nil {
 		return nil, err
 	}
-	p.Y.Min, p.Y.Max = decades(p.Y.Min, p.Y.Max)
+	p.Y.Min, p.Y.Max = roundToDecades(p.Y.Min, p.Y.Max)
 	return p, nil
 }
 
-// decades widens a range to whole powers of ten, as a logarithmic axis needs.
-func decades(least, most float64) (float64, float64) {
-	if !(least > 0) || math.IsInf(least, 0) || math.IsInf(most, 0) {
-		least, most = leastMS, 10*leastMS
+// roundToDecades extends a range to powers of ten for a logarithmic axis. A range
+// that is not positive, or infinite because there are no points, is replaced by the
+// decade from minPlotMS.
+func roundToDecades(smallest, largest float64) (float64, float64) {
+	if !(smallest > 0) || math.IsInf(smallest, 0) || math.IsInf(largest, 0) {
+		smallest, largest = minPlotMS, 10*minPlotMS
 	}
-	low := math.Pow(10, math.Floor(math.Log10(least)))
-	high := math.Pow(10, math.Ceil(math.Log10(most)))
+	low := math.Pow(10, math.Floor(math.Log10(smallest)))
+	high := math.Pow(10, math.Ceil(math.Log10(largest)))
 	return low, max(high, 10*low)
 }
 
-func (r *Report) againstIdeal() (*plot.Plot, error) {
-	x := func(row *Row) float64 { return max(leastMS, milliseconds(row.Ideal.D())) }
+// responseAgainstIdeal returns a plot of response time over ideal response time,
+// with a line where both are equal.
+func (r *Report) responseAgainstIdeal() (*plot.Plot, error) {
+	x := func(row *Row) float64 { return max(minPlotMS, milliseconds(row.Ideal.D())) }
 	p, err := r.newPlot(r.Config.Service+": response against ideal", "ideal, ms", x)
 	if err != nil {
 		return nil, err
 	}
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
-	p.X.Min, p.X.Max = decades(p.X.Min, p.X.Max)
+	p.X.Min, p.X.Max = roundToDecades(p.X.Min, p.X.Max)
 	from, to := min(p.X.Min, p.Y.Min), min(p.X.Max, p.Y.Max)
 	l, err := plotter.NewLine(plotter.XYs{{X: from, Y: from}, {X: to, Y: to}})
 	if err != nil {
@@ -156,7 +165,9 @@
 	return p, nil
 }
 
-func (r *Report) overTime() (*plot.Plot, error) {
+// responseOverTime returns a plot of response time over the time at which the job
+// was due.
+func (r *Report) responseOverTime() (*plot.Plot, error) {
 	x := func(row *Row) float64 { return row.Due.D().Seconds() }
 	p, err := r.newPlot(r.Config.Service+": response over time", "due, s", x)
 	if err != nil {
--- a/transport/loadgen/run_test.go
+++ b/transport/loadgen/run_test.go
@@ -32,12 +32,13 @@
 	}
 }
 
-// fakeEntry answers after the longest task of a job, and not before stalled.
-// Bend changes the answer to the nth submission of a job, from 0.
+// fakeEntry answers after the run time of a job's longest task, but not before
+// stalledUntil. If hang is set, it never answers. corrupt changes the answer to the
+// nth submission of a job, from 0.
 type fakeEntry struct {
-	stalled time.Time
-	hang    bool
-	bend    func(id string, n int, a *api.Answer) *httpclient.Failure
+	stalledUntil time.Time
+	hang         bool
+	corrupt      func(id string, n int, a *api.Answer) *httpclient.Failure
 
 	mu   sync.Mutex
 	seen map[string]int // guarded by mu
@@ -58,8 +59,8 @@
 }
 
 func (e *fakeEntry) Submit(ctx context.Context, s api.Submission) (api.Answer, *httpclient.Failure) {
-	a, longest := answerTo(s.Job.Key.ID, s.Job.Tasks)
-	wait := max(longest, time.Until(e.stalled))
+	a, longest := correctAnswer(s.Job.Key.ID, s.Job.Tasks)
+	wait := max(longest, time.Until(e.stalledUntil))
 	if e.hang {
 		wait = time.Hour
 	}
@@ -73,14 +74,15 @@
 	}
 	n := e.seen[a.ID]
 	e.seen[a.ID]++
-	if e.bend == nil {
+	if e.corrupt == nil {
 		return a, nil
 	}
-	return a, e.bend(a.ID, n, &a)
+	return a, e.corrupt(a.ID, n, &a)
 }
 
-// answerTo is what a right entry answers.
-func answerTo(id string, tasks []state.Task) (api.Answer, time.Duration) {
+// correctAnswer returns the answer of a correct entry and the run time of the
+// longest task.
+func correctAnswer(id string, tasks []state.Task) (api.Answer, time.Duration) {
 	a := api.Answer{ID: id, Outcome: api.Outcome(state.Complete), Stats: &api.Stats{}}
 	longest := time.Duration(0)
 	for _, t := range tasks {
@@ -97,7 +99,7 @@
 	return a, longest
 }
 
-// measureOne carries out a plan of one load.
+// measureOne carries out a plan with one load.
 func measureOne(ctx context.Context, c Config, entries ...Caller) (*Report, error) {
 	m, err := Measure(ctx, &Plan{Loads: []Config{c}}, Target{Entries: [][]Caller{entries}})
 	if err != nil {
@@ -106,10 +108,10 @@
 	return m.Loads[0], nil
 }
 
-// alone is a measurement of one load.
-func alone(r *Report) *Measurement {
+// singleLoadMeasurement returns a measurement with one load.
+func singleLoadMeasurement(r *Report) *Measurement {
 	m := &Measurement{Format: reportFormat, Plan: &Plan{Loads: []Config{r.Config}}, Loads: []*Report{r}}
-	m.finish()
+	m.setPassed()
 	return m
 }
 
@@ -134,21 +136,21 @@
 	panic(name)
 }
 
-// An entry stalls for the first three seconds and then answers at once. A tool
-// that waits for an answer before it sends again would send one job in that
-// time, and its median would hide the stall. Here every job that was due
-// meanwhile must show its own wait.
-func TestStallShowsInEveryJobThatWasDue(t *testing.T) {
+// An entry stalls for the first three seconds and then answers at once. A closed-loop
+// load generator, which waits for an answer before it sends again, would send one
+// job in that time, and its median would hide the stall. Here the response time of
+// every job that was due during the stall must include its own wait.
+func TestStallCountsForEveryJobDueDuringIt(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(t)
 	synctest.Test(t, func(t *testing.T) {
 		stall := 3 * time.Second
-		r, err := measureOne(context.Background(), c, &fakeEntry{stalled: time.Now().Add(stall)})
+		r, err := measureOne(context.Background(), c, &fakeEntry{stalledUntil: time.Now().Add(stall)})
 		is.NoErr(err)
 		waited := 0
 		for _, row := range r.Rows {
 			want := max(100*time.Millisecond, stall-row.Due.D())
-			is.Equal(row.Response.D(), want) // counts from when it was due
+			is.Equal(row.Response.D(), want) // measured from the time when it was due
 			if row.Due.D() < stall {
 				waited++
 			}
@@ -160,9 +162,9 @@
 	})
 }
 
-// An entry never answers. The run must end all the same, and the jobs count as
-// unknown and not as missing.
-func TestHangingEntryEndsWithTheRun(t *testing.T) {
+// An entry never answers. The run must end after its length and patience, and the
+// outcome of the jobs must be unknown; they must not be missing from the report.
+func TestRunEndsThoughEntryNeverAnswers(t *testing.T) {
 	is := is.New(t)
 	r := run(t, testConfig(t), &fakeEntry{hang: true})
 	is.Equal(r.Elapsed.D(), 15*time.Second)
--- a/transport/loadgen/steps.go
+++ b/transport/loadgen/steps.go
@@ -11,88 +11,92 @@
 	"github.com/shallotstep/shallotstep/transport/pause"
 )
 
-// healLimit bounds the call that ends a fault, also when the run was stopped.
-const healLimit = 10 * time.Second
+// clearFaultTimeout is the timeout of the call that clears a fault. The call is
+// made even if the run was stopped, so it needs a timeout of its own.
+const clearFaultTimeout = 10 * time.Second
 
-// StepResult is what came of a step.
+// StepResult is the result of a step.
 type StepResult struct {
 	Step Step `json:"step"`
-	// Detail tells what was done, Failure why it wasn't; a run with a failure
-	// hasn't been what its plan says.
+	// Detail describes what was done, Failure why the step failed. A measurement
+	// with a failed step does not correspond to its plan and has not passed.
 	Detail  string `json:"detail,omitempty"`
 	Failure string `json:"failure,omitempty"`
 }
 
-// steps carries out the steps of a plan. Each result is written by its own
-// event and read when all have ended.
-type steps struct {
+// stepRunner carries out the steps of a plan.
+type stepRunner struct {
 	target Target
-	loads  []*traffic
-	done   []StepResult
+	loads  []*loadRun
+	// stepResults has the result of each step. It needs no lock: each element is
+	// written only by the event of its step, and read after all events have ended.
+	stepResults []StepResult
 }
 
-func newSteps(p *Plan, t Target, loads []*traffic) *steps {
-	s := &steps{target: t, loads: loads}
+func newStepRunner(p *Plan, t Target, loads []*loadRun) *stepRunner {
+	s := &stepRunner{target: t, loads: loads}
 	for _, step := range p.Steps {
-		s.done = append(s.done, StepResult{Step: step, Failure: "not reached"})
+		s.stepResults = append(s.stepResults, StepResult{Step: step, Failure: "not reached"})
 	}
 	return s
 }
 
-func (s *steps) events() []event {
+// events returns one event for each step.
+func (s *stepRunner) events() []event {
 	var out []event
-	for i := range s.done {
-		r := &s.done[i]
+	for i := range s.stepResults {
+		r := &s.stepResults[i]
 		out = append(out, event{r.Step.At.D(), func(ctx context.Context, begin time.Time) {
 			r.Failure = ""
-			s.carryOut(ctx, begin, r)
+			s.execute(ctx, begin, r)
 		}})
 	}
 	return out
 }
 
-func (s *steps) results() []StepResult { return s.done }
+func (s *stepRunner) results() []StepResult { return s.stepResults }
 
-func (s *steps) carryOut(ctx context.Context, begin time.Time, r *StepResult) {
+func (s *stepRunner) execute(ctx context.Context, begin time.Time, r *StepResult) {
 	switch {
 	case r.Step.CancelInFlight:
 		r.Detail = fmt.Sprintf("%d jobs cancelled", s.cancelInFlight(ctx, begin, r.Step.At.D()))
 	default:
-		s.fault(ctx, r)
+		s.injectFault(ctx, r)
 	}
 }
 
-// cancelInFlight cancels all jobs that wait for their answers at once and
-// returns how many that were. One that is cancelled anyway is left alone.
-func (s *steps) cancelInFlight(ctx context.Context, begin time.Time, due time.Duration) int {
+// cancelInFlight concurrently cancels all jobs that are waiting for their answers
+// and returns their number. It skips jobs with a planned cancellation and those
+// that an earlier step has cancelled.
+func (s *stepRunner) cancelInFlight(ctx context.Context, begin time.Time, due time.Duration) int {
 	var wg conc.WaitGroup
 	n := 0
 	for _, l := range s.loads {
 		for i := range l.records {
 			r := &l.records[i]
-			if r.cancel > 0 || !r.waits.Load() || !r.waved.CompareAndSwap(false, true) {
+			if r.cancelAt > 0 || !r.awaitingAnswer.Load() || !r.cancelledByStep.CompareAndSwap(false, true) {
 				continue
 			}
 			n++
-			wg.Go(func() { r.stop.make(ctx, begin, due, l.cancelCall(i)) })
+			wg.Go(func() { r.cancellation.do(ctx, begin, due, l.cancelCall(i)) })
 		}
 	}
 	wg.Wait()
 	return n
 }
 
-// fault makes a stand-in fail for a while. It is healed also when the run was
-// stopped meanwhile.
-func (s *steps) fault(ctx context.Context, r *StepResult) {
+// injectFault injects a fault at a stand-in for the duration of the step. The fault
+// is cleared even if the run is stopped in the meantime.
+func (s *stepRunner) injectFault(ctx context.Context, r *StepResult) {
 	b := s.target.Backends[r.Step.Backend-1]
-	if err := b.SetFaults(ctx, faults[r.Step.Fault]); err != nil {
+	if err := b.SetFaults(ctx, standinFaults[r.Step.Fault]); err != nil {
 		r.Failure = err.Error()
 		return
 	}
 	_ = pause.For(ctx, r.Step.For.D())
-	heal, cancel := context.WithTimeout(context.WithoutCancel(ctx), healLimit)
+	clearCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), clearFaultTimeout)
 	defer cancel()
-	if err := b.SetFaults(heal, standin.Faults{}); err != nil {
+	if err := b.SetFaults(clearCtx, standin.Faults{}); err != nil {
 		r.Failure = "the fault stays: " + err.Error()
 		return
 	}
--- a/transport/loadgen/steps_test.go
+++ b/transport/loadgen/steps_test.go
@@ -13,25 +13,27 @@
 	"github.com/shallotstep/shallotstep/protocol/standin"
 )
 
-// fakeSystem has one stand-in that notes its faults, or doesn't take them.
-type fakeSystem struct {
-	begin    time.Time
-	counts   map[TaskName]int
-	deaf     bool
-	broken   bool
-	mu       sync.Mutex
-	faultLog []string // guarded by mu
+// fakeBackend is a stand-in backend server that records the faults it is set to. If
+// rejectsFaults is set, it returns an error instead. If countsFail is set, its
+// counts cannot be read after the first second.
+type fakeBackend struct {
+	begin         time.Time
+	counts        map[TaskKey]int
+	countsFail    bool
+	rejectsFaults bool
+	mu            sync.Mutex
+	faultLog      []string // guarded by mu
 }
 
-func (s *fakeSystem) Starts(context.Context, string) (map[TaskName]int, error) {
-	if s.deaf && time.Since(s.begin) > time.Second {
+func (s *fakeBackend) Starts(context.Context, string) (map[TaskKey]int, error) {
+	if s.countsFail && time.Since(s.begin) > time.Second {
 		return nil, errors.New("gone")
 	}
 	return s.counts, nil
 }
 
-func (s *fakeSystem) SetFaults(_ context.Context, f standin.Faults) error {
-	if s.broken {
+func (s *fakeBackend) SetFaults(_ context.Context, f standin.Faults) error {
+	if s.rejectsFaults {
 		return errors.New("takes no faults")
 	}
 	s.mu.Lock()
@@ -44,7 +46,7 @@
 	return nil
 }
 
-func measurePlan(t *testing.T, p *Plan, s *fakeSystem, entry Caller) *Measurement {
+func measurePlan(t *testing.T, p *Plan, s *fakeBackend, entry Caller) *Measurement {
 	t.Helper()
 	var m *Measurement
 	synctest.Test(t, func(t *testing.T) {
@@ -62,14 +64,15 @@
 	return &Plan{Loads: []Config{testConfig(t)}, Steps: steps, Backends: []string{"http://b"}}
 }
 
-// A wave cancels what waits at its moment, and neither what has been answered
-// nor what comes later. The fake entry says "cancelled" and answers all the
-// same, so that each job of the wave shows as one failed check.
-func TestWaveCancelsWhatIsInFlight(t *testing.T) {
+// The step must cancel the jobs that are waiting at its time, and neither those that
+// have been answered nor those that are due later. The fake entry answers
+// "cancelled" and still completes the job, so that each cancelled job is counted as
+// one failed check.
+func TestCancelInFlightStepCancelsWaitingJobs(t *testing.T) {
 	is := is.New(t)
 	at := 2 * time.Second
 	p := testPlan(t, Step{At: Duration(at), CancelInFlight: true})
-	m := measurePlan(t, p, &fakeSystem{}, &fakeEntry{})
+	m := measurePlan(t, p, &fakeBackend{}, &fakeEntry{})
 	want := 0
 	for _, row := range m.Loads[0].Rows {
 		if row.Due.D() < at && row.Due.D()+row.Response.D() > at {
@@ -81,33 +84,34 @@
 	is.Equal(m.Loads[0].check(CheckCancel).Failed, want)
 }
 
-// A step that isn't carried out makes the run something else than its plan: it
+// A run with a step that could not be carried out does not correspond to its plan and
 // must not pass.
 func TestStepsThatFailFailTheRun(t *testing.T) {
 	is := is.New(t)
 	fault := Step{At: Duration(time.Second), Fault: FaultFailAll, Backend: 1, For: Duration(2 * time.Second)}
-	for _, broken := range []bool{false, true} {
+	for _, rejects := range []bool{false, true} {
 		p := testPlan(t, fault)
-		// Nothing arrives that the counts would have to agree with.
+		// No jobs arrive. The fake stand-in counts no starts, so completed jobs would
+		// fail the run as well.
 		p.Loads[0].Phases = []Phase{{For: p.Loads[0].Length, Rate: 0}}
-		s := &fakeSystem{broken: broken}
+		s := &fakeBackend{rejectsFaults: rejects}
 		m := measurePlan(t, p, s, &fakeEntry{})
-		is.Equal(m.Passed, !broken)
-		is.Equal(m.Steps[0].Failure == "", !broken)
-		if !broken {
+		is.Equal(m.Passed, !rejects)
+		is.Equal(m.Steps[0].Failure == "", !rejects)
+		if !rejects {
 			is.Equal(s.faultLog, []string{"1s fail_all", "3s healthy"})
 		}
 	}
 }
 
-// The counts of the backend servers decide on lost tasks, and counts that can't
-// be read decide nothing: such a run has not passed.
+// A run must not pass if tasks of complete jobs were not started at any backend
+// server, nor if the counts of a backend server can't be read.
 func TestLostTasksAndMissingCountsFailTheRun(t *testing.T) {
 	is := is.New(t)
-	m := measurePlan(t, testPlan(t), &fakeSystem{}, &fakeEntry{})
+	m := measurePlan(t, testPlan(t), &fakeBackend{}, &fakeEntry{})
 	is.True(!m.Passed)
 	is.Equal(m.Starts.Lost, m.Loads[0].Tasks) // all complete, none started
-	m = measurePlan(t, testPlan(t), &fakeSystem{deaf: true}, &fakeEntry{})
+	m = measurePlan(t, testPlan(t), &fakeBackend{countsFail: true}, &fakeEntry{})
 	is.True(!m.Passed && !m.Starts.Counted)
 	is.Equal(m.Starts.Failure, "backend server 1: gone")
 }
