--- a/coordination/model/agent_test.go
+++ b/coordination/model/agent_test.go
@@ -15,45 +15,45 @@
 	w      *world
 	name   string
 	worker *worker.Worker
-	exec   *executor
+	server *serverModel
 	// life numbers the processes; it is the fencing token.
-	life int64
-	down bool
-	born time.Duration
-	thaw time.Duration
+	incarnation int64
+	down        bool
+	startedAt   time.Duration
+	frozenUntil time.Duration
 	// until then only one owner reaches it, or none.
-	until time.Duration
-	loyal *ownerModel
+	partitionedUntil time.Duration
+	reachableBy      *ownerModel
 	// caller is the link of the shard's owner.
-	caller *link
-	claims worker.Claim
-	drains drainView
+	ownerLink *link
+	lastClaim worker.Claim
+	drains    drainView
 }
 
 func newAgent(w *world, name string) *agentModel {
 	a := &agentModel{w: w, name: name}
-	a.exec = newExecutor(w, a)
+	a.server = newServer(w, a)
 	a.start()
 	return a
 }
 
 func (a *agentModel) start() {
-	a.life++
+	a.incarnation++
 	a.down = false
-	a.w.blindTo(func(t *taskLedger) bool {
-		return strings.HasPrefix(t.on, a.name+"-") && (t.on != a.exec.name() || !a.exec.up)
+	a.w.markUnobserved(func(t *taskLedger) bool {
+		return strings.HasPrefix(t.lastServer, a.name+"-") && (t.lastServer != a.server.name() || !a.server.up)
 	})
-	a.w.trace("- %s life %d begins", a.name, a.life)
+	a.w.trace("- %s life %d begins", a.name, a.incarnation)
 	a.worker = worker.New(a.w.workerBounds())
-	a.caller = nil
-	a.drains = drainView{book: &drains.Tracker{}}
-	a.born = a.w.now
-	a.exec.report()
-	life := a.life
+	a.ownerLink = nil
+	a.drains = drainView{tracker: &drains.Tracker{}}
+	a.startedAt = a.w.now
+	a.server.report()
+	life := a.incarnation
 	a.loop(life, 50*time.Millisecond, func() {
 		a.apply(a.worker.Tick(a.w.now))
-		a.lookForDrains()
-		a.tell()
+		a.readDrainsIfStale()
+		a.sendLoad()
 	})
 	a.hold(life)
 }
@@ -61,12 +61,12 @@
 // loop does something again and again for as long as a life lasts.
 func (a *agentModel) loop(life int64, every time.Duration, do func()) {
 	a.run(func() {
-		if a.life == life {
+		if a.incarnation == life {
 			do()
 		}
 	})
 	a.w.after(every, func() {
-		if a.life == life && !a.down {
+		if a.incarnation == life && !a.down {
 			a.loop(life, every, do)
 		}
 	})
@@ -76,7 +76,7 @@
 	if a.down {
 		return
 	}
-	if wait := a.thaw - a.w.now; wait > 0 {
+	if wait := a.frozenUntil - a.w.now; wait > 0 {
 		a.w.after(wait, func() { a.run(do) })
 		return
 	}
@@ -85,18 +85,18 @@
 
 // contact is how long an agent has to have run for the bound on starts after crashes to hold
 // of it. An agent that restarts beside a crash has nobody left who saw it.
-const contact = 4 * time.Second
+const stableAfter = 4 * time.Second
 
-func (a *agentModel) inTouch() bool { return a.w.now-a.born >= contact }
+func (a *agentModel) stable() bool { return a.w.now-a.startedAt >= stableAfter }
 
-func (a *agentModel) freeze(d time.Duration) { a.thaw = max(a.thaw, a.w.now+d) }
+func (a *agentModel) freeze(d time.Duration) { a.frozenUntil = max(a.frozenUntil, a.w.now+d) }
 
 // ready reports whether the agent takes links: it has to know what runs beside it.
 func (a *agentModel) ready(o *ownerModel) bool {
-	if a.w.now < a.until && a.loyal != o {
+	if a.w.now < a.partitionedUntil && a.reachableBy != o {
 		return false
 	}
-	return !a.down && a.w.now >= a.thaw && a.worker.Ready(a.w.now-a.born)
+	return !a.down && a.w.now >= a.frozenUntil && a.worker.Ready(a.w.now-a.startedAt)
 }
 
 // restart ends the process and starts another beside the same executor.
@@ -106,9 +106,9 @@
 	}
 	a.down = true
 	a.w.trace("- %s goes down", a.name)
-	a.life++
+	a.incarnation++
 	for _, o := range a.w.owners {
-		o.cutLink(a, away+a.w.upTo(300*time.Millisecond))
+		o.cutLink(a, away+a.w.randUpTo(300*time.Millisecond))
 	}
 	a.w.after(away, a.start)
 }
@@ -118,22 +118,22 @@
 	a.apply(answer.Effects)
 	a.w.trace("%s claim %+v refused %v runs %v", a.name, c, answer.Refused, answer.Runs)
 	if !answer.Refused {
-		a.caller, a.claims = l, c
+		a.ownerLink, a.lastClaim = l, c
 	}
-	if a.w.m == claimsWithoutRuns {
+	if a.w.mutant == claimsWithoutRuns {
 		answer.Runs = nil
 	}
 	l.toOwner(func() { l.owner.apply(l.owner.shard.Claimed(a.w.now, a.name, answer)) })
-	a.tell()
+	a.sendLoad()
 }
 
 func (a *agentModel) order(l *link, o worker.Order) {
 	a.w.trace("%s order %v epoch %d session %d", a.name, o.Run, o.Epoch, o.Session)
-	if a.w.m == repeatsStart {
+	if a.w.mutant == repeatsStartRuns {
 		o.Repeat = false
 	}
-	if a.w.m == anyOrder {
-		o.Epoch, o.Session = a.claims.Epoch, a.claims.Session
+	if a.w.mutant == noOrderFence {
+		o.Epoch, o.Session = a.lastClaim.Epoch, a.lastClaim.Session
 	}
 	a.apply(a.worker.Order(a.w.now, o))
 }
@@ -144,11 +144,11 @@
 
 func (a *agentModel) settled(s owner.Settlement) {
 	a.w.trace("%s settled %+v", a.name, s)
-	a.worker.Settled(s.Run, s.Void && a.w.m != voidAcked)
+	a.worker.Settled(s.Run, s.Void && a.w.mutant != voidEndsAcked)
 }
 
 // tell sends the load to whoever is linked.
-func (a *agentModel) tell() {
+func (a *agentModel) sendLoad() {
 	load := a.worker.Load(a.w.now)
 	for _, o := range a.w.owners {
 		if l := o.links[a]; l != nil && l.up {
@@ -158,10 +158,10 @@
 }
 
 func (a *agentModel) apply(fx worker.Effects) {
-	life := a.life
+	life := a.incarnation
 	for _, s := range fx.Starts {
 		a.checkDrains()
-		a.call(func() bool { return a.exec.runStart(life, s) }, func(answered, ok bool) {
+		a.call(func() bool { return a.server.runStart(life, s) }, func(answered, ok bool) {
 			outcome := worker.StartRefused
 			a.w.trace("%s start %v answered %v ok %v", a.name, s.Run, answered, ok)
 			switch {
@@ -174,19 +174,19 @@
 		})
 	}
 	for _, s := range fx.Stops {
-		a.call(func() bool { return a.exec.runStop(life, s) }, func(answered, ok bool) {
+		a.call(func() bool { return a.server.runStop(life, s) }, func(answered, ok bool) {
 			a.apply(a.worker.StopAnswered(a.w.now, s.Instance, s.Run, answered && ok))
 		})
 	}
 	for _, e := range fx.Events {
-		if a.w.m == lossesUntold {
+		if a.w.mutant == lossesNotReported {
 			e.State.Loss = worker.NotLost
 		}
 		a.w.trace("%s event %+v", a.name, e)
-		if a.w.m == settledUnwritten && e.State.Status == worker.Ended {
+		if a.w.mutant == settledBeforeWrite && e.State.Status == worker.Ended {
 			a.worker.Settled(e.State.Run, false)
 		}
-		if l := a.caller; l != nil && l.up {
+		if l := a.ownerLink; l != nil && l.up {
 			l.toOwner(func() { l.owner.event(a, e) })
 		}
 	}
@@ -196,17 +196,17 @@
 // what came of it unless the answer is lost.
 func (a *agentModel) call(do func() bool, then func(answered, ok bool)) {
 	const timeout = 80 * time.Millisecond
-	w, life, took := a.w, a.life, a.w.upTo(3*time.Millisecond)
+	w, life, took := a.w, a.incarnation, a.w.randUpTo(3*time.Millisecond)
 	lost, late := false, false
-	if w.now < a.exec.troubled {
+	if w.now < a.server.unreliableUntil {
 		lost, late = w.chance(0.3), w.chance(0.3)
 	}
 	if late {
-		took += w.upTo(1500 * time.Millisecond)
+		took += w.randUpTo(1500 * time.Millisecond)
 	}
 	back := func(answered, ok bool) {
 		a.run(func() {
-			if a.life == life {
+			if a.incarnation == life {
 				then(answered, ok)
 			}
 		})
@@ -225,7 +225,7 @@
 // hold keeps the lease and reads the lists.
 func (a *agentModel) hold(life int64) {
 	a.run(func() {
-		if a.life != life {
+		if a.incarnation != life {
 			return
 		}
 		c, ok := a.worker.Hold(a.w.now)
@@ -234,11 +234,11 @@
 			return
 		}
 		var h worker.HoldResult
-		a.call(func() bool { return a.exec.hold(life, c, &h) }, func(answered, ok bool) {
+		a.call(func() bool { return a.server.hold(life, c, &h) }, func(answered, ok bool) {
 			if answered && ok {
 				a.apply(a.worker.HoldAnswered(a.w.now, c, h))
 			} else {
-				a.apply(a.worker.HoldFailed(a.w.now, c, a.exec.failure(c, answered)))
+				a.apply(a.worker.HoldFailed(a.w.now, c, a.server.holdFailure(c, answered)))
 			}
 			a.w.after(40*time.Millisecond, func() { a.hold(life) })
 		})
--- a/coordination/model/client_test.go
+++ b/coordination/model/client_test.go
@@ -18,23 +18,23 @@
 }
 
 type clientJob struct {
-	spec job.Spec
-	once bool
+	spec       job.Spec
+	atMostOnce bool
 	// crashes is set where the first task crashes each server that starts it.
-	crashes bool
+	crashesServer bool
 	// accepted and refused are what it was told; unknown is set once a try's
 	// fate was open.
-	accepted, refused, unknown bool
+	accepted, refused, outcomeUnknown bool
 	// final is the end that it was shown, by the owner of an epoch.
-	final job.State
-	shown bool
+	final      job.State
+	finalShown bool
 }
 
-func (c *client) begin() {
-	for at := time.Duration(0); at < faultsEnd; at += c.w.upTo(600 * time.Millisecond) {
+func (c *client) start() {
+	for at := time.Duration(0); at < faultsEnd; at += c.w.randUpTo(600 * time.Millisecond) {
 		c.w.after(at, c.submit)
 	}
-	c.look()
+	c.checkStates()
 }
 
 // crasherShare is the share of the repeatable jobs whose first task crashes its servers.
@@ -42,14 +42,14 @@
 
 // crashes reports whether a task crashes its server.
 func (c *client) crashes(id job.TaskID) bool {
-	return c.jobs[id.Job].crashes && id.Step == 0 && id.Index == 0
+	return c.jobs[id.Job].crashesServer && id.Step == 0 && id.Index == 0
 }
 
 func (c *client) submit() {
 	id := job.ID(fmt.Sprintf("%016x", len(c.ids)))
-	j := &clientJob{once: c.w.chance(0.3)}
-	j.crashes = !j.once && c.w.chance(crasherShare)
-	j.spec = job.Spec{Steps: []job.Step{{Count: 1 + c.w.r.IntN(3), Demand: taskDemand, Estimate: 400 * time.Millisecond}}}
+	j := &clientJob{atMostOnce: c.w.chance(0.3)}
+	j.crashesServer = !j.atMostOnce && c.w.chance(crasherShare)
+	j.spec = job.Spec{Steps: []job.Step{{Count: 1 + c.w.rand.IntN(3), Demand: taskDemand, Estimate: 400 * time.Millisecond}}}
 	if c.w.chance(0.3) {
 		j.spec.Steps = append(j.spec.Steps, job.Step{Count: 1, Demand: taskDemand, Estimate: 100 * time.Millisecond, DependsOn: []int{0}})
 	}
@@ -59,8 +59,8 @@
 }
 
 // someOwner is whoever the client's entry believes to own the shard.
-func (c *client) someOwner() *ownerModel {
-	o := c.w.current()
+func (c *client) pickOwner() *ownerModel {
+	o := c.w.newestOwner()
 	if n := len(c.w.owners); n > 1 && c.w.chance(0.2) {
 		o = c.w.owners[n-2]
 	}
@@ -68,66 +68,66 @@
 }
 
 func (c *client) try(id job.ID, j *clientJob) {
-	o := c.someOwner()
+	o := c.pickOwner()
 	if o.dead {
-		c.again(id, j)
+		c.retryLater(id, j)
 		return
 	}
 	answered := false
 	o.run(func() {
-		p := job.Policy{Queue: "q", Service: "desk", MaxAttempts: 3, AtMostOnce: j.once, Slack: 1, Target: time.Hour}
-		if j.once {
+		p := job.Policy{Queue: "q", Service: "desk", MaxAttempts: 3, AtMostOnce: j.atMostOnce, Slack: 1, Target: time.Hour}
+		if j.atMostOnce {
 			p.MaxAttempts = 1
 		}
 		fx := o.shard.Submit(c.w.now, id, j.spec, p, func(v owner.Response) {
 			answered = true
-			c.told(id, j, v)
+			c.handleResponse(id, j, v)
 		})
-		if c.w.m == acceptedUnwritten && o.shard.Lookup(id).Outcome == owner.Absent && !o.shard.Closed() {
-			c.told(id, j, owner.Response{Outcome: owner.OK})
+		if c.w.mutant == acceptedBeforeWrite && o.shard.Lookup(id).Outcome == owner.Absent && !o.shard.Closed() {
+			c.handleResponse(id, j, owner.Response{Outcome: owner.OK})
 		}
 		o.apply(fx)
 	})
 	c.w.after(2*time.Second, func() {
 		if !answered && !j.accepted && !j.refused {
-			j.unknown = true
-			c.again(id, j)
+			j.outcomeUnknown = true
+			c.retryLater(id, j)
 		}
 	})
 }
 
-func (c *client) again(id job.ID, j *clientJob) {
-	c.w.after(100*time.Millisecond+c.w.upTo(200*time.Millisecond), func() {
+func (c *client) retryLater(id job.ID, j *clientJob) {
+	c.w.after(100*time.Millisecond+c.w.randUpTo(200*time.Millisecond), func() {
 		if !j.accepted && !j.refused {
 			c.try(id, j)
 		}
 	})
 }
 
-func (c *client) told(id job.ID, j *clientJob, v owner.Response) {
+func (c *client) handleResponse(id job.ID, j *clientJob, v owner.Response) {
 	switch v.Outcome {
 	case owner.OK:
 		j.accepted = true
 		if c.w.chance(0.1) {
-			c.w.after(c.w.upTo(time.Second), func() { c.cancel(id) })
+			c.w.after(c.w.randUpTo(time.Second), func() { c.cancel(id) })
 		}
 	case owner.Refused:
-		if j.unknown || j.accepted {
-			c.again(id, j)
+		if j.outcomeUnknown || j.accepted {
+			c.retryLater(id, j)
 			return
 		}
 		if c.w.chance(0.5) {
 			// It goes elsewhere and counts on it that nothing runs here.
 			j.refused = true
 			if c.started(id) {
-				c.w.fault(string(id), "%s was refused and has run", id)
+				c.w.addViolation(string(id), "%s was refused and has run", id)
 			}
 			return
 		}
-		c.again(id, j)
+		c.retryLater(id, j)
 	default:
-		j.unknown = j.unknown || v.Outcome == owner.Unknown
-		c.again(id, j)
+		j.outcomeUnknown = j.outcomeUnknown || v.Outcome == owner.Unknown
+		c.retryLater(id, j)
 	}
 }
 
@@ -141,58 +141,58 @@
 }
 
 func (c *client) cancel(id job.ID) {
-	if o := c.w.current(); !o.dead {
+	if o := c.w.newestOwner(); !o.dead {
 		o.run(func() { o.apply(o.shard.Cancel(c.w.now, id, func(owner.Response) {})) })
 	}
 }
 
 // look asks the newest owner for everything: nothing accepted may be unknown to
 // it, and no end that was shown may change.
-func (c *client) look() {
-	if o := c.w.current(); !o.dead && c.w.now >= o.thaw && !o.shard.Closed() {
+func (c *client) checkStates() {
+	if o := c.w.newestOwner(); !o.dead && c.w.now >= o.frozenUntil && !o.shard.Closed() {
 		for _, id := range c.ids {
 			c.compare(id, o.shard.Lookup(id))
 		}
 	}
-	c.w.after(200*time.Millisecond, c.look)
+	c.w.after(200*time.Millisecond, c.checkStates)
 }
 
 func (c *client) compare(id job.ID, v owner.Response) {
 	j := c.jobs[id]
 	switch {
 	case v.Outcome == owner.Absent && j.accepted:
-		c.w.fault(string(id), "%s was accepted and is not known any more", id)
+		c.w.addViolation(string(id), "%s was accepted and is not known any more", id)
 	case v.Outcome != owner.OK:
-	case j.shown && v.State != j.final:
-		c.w.fault(string(id), "%s was %v and is %v now", id, j.final, v.State)
+	case j.finalShown && v.State != j.final:
+		c.w.addViolation(string(id), "%s was %v and is %v now", id, j.final, v.State)
 	case v.State.Final():
-		j.shown, j.final = true, v.State
+		j.finalShown, j.final = true, v.State
 	}
 }
 
 // settled checks, long after the last fault, that everything has come to an end.
-func (c *client) settled() {
+func (c *client) checkAllEnded() {
 	for _, id := range c.ids {
 		j := c.jobs[id]
 		switch {
-		case j.accepted && !j.shown:
-			c.w.fault(string(id), "%s was accepted and has not ended", id)
+		case j.accepted && !j.finalShown:
+			c.w.addViolation(string(id), "%s was accepted and has not ended", id)
 		case !j.accepted && !j.refused:
-			c.w.fault(string(id), "%s was never answered", id)
-		case j.crashes && j.final == job.Completed:
-			c.w.fault(string(id), "%s can't be done and was completed", id)
+			c.w.addViolation(string(id), "%s was never answered", id)
+		case j.crashesServer && j.final == job.Completed:
+			c.w.addViolation(string(id), "%s can't be done and was completed", id)
 		}
-		if j.once && j.final != job.Cancelled {
-			c.startedOnce(id)
+		if j.atMostOnce && j.final != job.Cancelled {
+			c.checkStartedOnce(id)
 		}
 	}
 }
 
 // startedOnce: a task that may not be repeated was started once at most.
-func (c *client) startedOnce(id job.ID) {
+func (c *client) checkStartedOnce(id job.ID) {
 	for task, t := range c.w.ledger {
-		if task.Job == id && t.starts > 1 && !t.blind {
-			c.w.fault(string(task.Job), "%v, which may not be repeated, was started %d times", task, t.starts)
+		if task.Job == id && t.starts > 1 && !t.unobserved {
+			c.w.addViolation(string(task.Job), "%v, which may not be repeated, was started %d times", task, t.starts)
 		}
 	}
 }
--- a/coordination/model/drain_test.go
+++ b/coordination/model/drain_test.go
@@ -8,11 +8,11 @@
 
 const (
 	// drainBound is how long after a drain an agent in touch may still start something.
-	drainBound = 3 * time.Second
+	maxDrainDelay = 3 * time.Second
 	// drainsStale is the age of what an agent was told from which on it looks into the store.
-	drainsStale = 2 * time.Second
+	staleDrainsAge = 2 * time.Second
 	// drainRead is how long a reader of the store takes to hear of a record.
-	drainRead = 20 * time.Millisecond
+	drainReadDelay = 20 * time.Millisecond
 )
 
 // drainLog is what operators have written of drains. Each agent is in a failure domain of
@@ -31,7 +31,7 @@
 	w.trace("- %s is drained", a.name)
 	w.drains.since[a.name] = w.now
 	w.drains.changes = append(w.drains.changes, drains.Change{Domain: a.name, Drained: true})
-	w.after(w.upTo(9*time.Second), func() {
+	w.after(w.randUpTo(9*time.Second), func() {
 		w.trace("- %s is taken back", a.name)
 		delete(w.drains.since, a.name)
 		w.drains.changes = append(w.drains.changes, drains.Change{Domain: a.name})
@@ -40,14 +40,14 @@
 
 // drainView is what a process knows of drains.
 type drainView struct {
-	book *drains.Tracker
+	tracker *drains.Tracker
 	// blind is the time until which the process does not reach the store.
-	blind time.Duration
+	storeLostUntil time.Duration
 }
 
 // read takes in all that operators have written, as of a time.
 func (v *drainView) read(w *world, now time.Duration) bool {
-	r := drains.NewReplayer(v.book)
+	r := drains.NewReplayer(v.tracker)
 	r.Reset()
 	for _, c := range w.drains.changes {
 		r.Apply(c)
@@ -56,52 +56,52 @@
 }
 
 // followDrains has an owner read the store while it reaches it.
-func (o *ownerModel) followDrains() {
+func (o *ownerModel) pollDrains() {
 	o.run(func() {
-		if now := o.w.now; now >= o.drains.blind && o.drains.read(o.w, now) {
-			o.fleet.SetDrained(o.drains.book.State())
+		if now := o.w.now; now >= o.drains.storeLostUntil && o.drains.read(o.w, now) {
+			o.fleet.SetDrained(o.drains.tracker.State())
 		}
 	})
-	if !o.gone() {
-		o.w.after(drainRead, o.followDrains)
+	if !o.killed() {
+		o.w.after(drainReadDelay, o.pollDrains)
 	}
 }
 
 // tellDrains has a frame of the owner tell what it knows.
-func (l *link) tellDrains() func() {
-	state, age := l.owner.drains.book.Latest(l.owner.w.now)
+func (l *link) drainsMessage() func() {
+	state, age := l.owner.drains.tracker.Latest(l.owner.w.now)
 	sent := l.owner.w.now
-	if l.owner.w.m == drainsGoBack {
+	if l.owner.w.mutant == olderDrainsAccepted {
 		// Its own words are taken for the newest.
 		state.Position = int64(l.owner.w.now)
 	}
-	return func() { l.agent.hearDrains(state, age+l.agent.w.now-sent) }
+	return func() { l.agent.receiveDrains(state, age+l.agent.w.now-sent) }
 }
 
-func (a *agentModel) hearDrains(s drains.State, age time.Duration) {
-	if a.drains.book.Update(a.w.now, s, age) {
-		a.actOnDrains()
+func (a *agentModel) receiveDrains(s drains.State, age time.Duration) {
+	if a.drains.tracker.Update(a.w.now, s, age) {
+		a.applyDrains()
 	}
 }
 
-func (a *agentModel) actOnDrains() {
-	if a.w.m == drainsIgnored {
+func (a *agentModel) applyDrains() {
+	if a.w.mutant == drainsIgnored {
 		return
 	}
-	a.apply(a.worker.DrainDomain(a.w.now, a.drains.book.State().Has(a.name)))
+	a.apply(a.worker.DrainDomain(a.w.now, a.drains.tracker.State().Has(a.name)))
 }
 
 // lookForDrains has an agent whose callers have not heard from the store look itself.
-func (a *agentModel) lookForDrains() {
-	_, age := a.drains.book.Latest(a.w.now)
-	if age < drainsStale || a.w.m == drainsNotLooked {
+func (a *agentModel) readDrainsIfStale() {
+	_, age := a.drains.tracker.Latest(a.w.now)
+	if age < staleDrainsAge || a.w.mutant == drainsNotRead {
 		return
 	}
-	life := a.life
-	a.w.after(drainRead, func() {
+	life := a.incarnation
+	a.w.after(drainReadDelay, func() {
 		a.run(func() {
-			if a.life == life && a.drains.read(a.w, a.w.now) {
-				a.actOnDrains()
+			if a.incarnation == life && a.drains.read(a.w, a.w.now) {
+				a.applyDrains()
 			}
 		})
 	})
@@ -110,8 +110,8 @@
 // checkDrains holds a start that an agent sends against the drains in force.
 func (a *agentModel) checkDrains() {
 	since, drained := a.w.drains.since[a.name]
-	calm := a.inTouch() && a.w.now-a.thaw >= contact
-	if drained && calm && a.w.now-since > drainBound {
-		a.w.fault(a.name, "%s starts something %v after its domain was drained", a.name, a.w.now-since)
+	undisturbed := a.stable() && a.w.now-a.frozenUntil >= stableAfter
+	if drained && undisturbed && a.w.now-since > maxDrainDelay {
+		a.w.addViolation(a.name, "%s starts something %v after its domain was drained", a.name, a.w.now-since)
 	}
 }
--- a/coordination/model/model_test.go
+++ b/coordination/model/model_test.go
@@ -13,7 +13,7 @@
 )
 
 // racedSeeds is how many worlds are played with the race detector.
-const racedSeeds = 5
+const raceDetectorWorlds = 5
 
 // Owners die, freeze and go on without knowing that they were replaced; agents
 // restart and freeze; executors crash, take calls late and lose answers; links
@@ -25,14 +25,14 @@
 // executors down.
 func TestWorlds(t *testing.T) {
 	steps, worlds := 0, *seeds
-	if raced {
-		worlds = min(worlds, racedSeeds)
+	if raceDetector {
+		worlds = min(worlds, raceDetectorWorlds)
 	}
 	for seed := *firstSeed; seed < *firstSeed+uint64(worlds); seed++ {
-		w := newWorld(seed, whole)
+		w := newWorld(seed, unmutated)
 		w.run()
 		steps += w.steps
-		for _, f := range w.faults {
+		for _, f := range w.violations {
 			t.Errorf("seed %d: %s", seed, f)
 		}
 	}
@@ -41,21 +41,21 @@
 
 // mutants are those that some tens of worlds catch.
 var mutants = []mutant{
-	noStoreFence, claimsWithoutRuns, agentsNotNamed, agentsNotWritten, noTakeoverWait, noWaitOut,
-	acceptedUnwritten, settledUnwritten, anyOrder, voidAcked, lossesUntold, capacityKept,
-	drainsIgnored, drainsNotLooked, drainsGoBack,
+	noStoreFence, claimsWithoutRuns, formerAgentsNotRead, agentsNotWritten, noTakeoverWait, noLostLinkWait,
+	acceptedBeforeWrite, settledBeforeWrite, noOrderFence, voidEndsAcked, lossesNotReported, capacityNotUpdated,
+	drainsIgnored, drainsNotRead, olderDrainsAccepted,
 }
 
 // rareMutants need several faults within milliseconds, or clocks that differ for
 // long: hundreds or thousands of worlds. They are played by hand.
 var rareMutants = []mutant{
-	noOwnerSilence, noCallFence, noDeadline, wildClocks, noRenewLimit, claimsUnconfirmed, waitsUnconfirmed, repeatsStart,
+	noOwnerTimeout, noCallFence, noStartDeadline, excessClockDrift, noRenewLimit, claimsUnconfirmed, lostLinksUnconfirmed, repeatsStartRuns,
 }
 
 // Each safeguard is taken out in turn. A model that doesn't notice would prove
 // nothing of it.
 func TestEachSafeguardIsNeeded(t *testing.T) {
-	if raced {
+	if raceDetector {
 		t.Skip("runs without the race detector, see .ci/run")
 	}
 	list := mutants
@@ -68,8 +68,8 @@
 			for seed := *firstSeed; seed < *firstSeed+uint64(*tries); seed++ {
 				w := newWorld(seed, m)
 				w.run()
-				if len(w.faults) > 0 {
-					t.Logf("seed %d: %s", seed, w.faults[0])
+				if len(w.violations) > 0 {
+					t.Logf("seed %d: %s", seed, w.violations[0])
 					return
 				}
 			}
--- a/coordination/model/owner_test.go
+++ b/coordination/model/owner_test.go
@@ -14,18 +14,18 @@
 
 // ownerModel drives one owner's machine.
 type ownerModel struct {
-	w      *world
-	name   string
-	shard  *owner.Shard
-	fleet  *owner.Fleet
-	links  map[*agentModel]*link
-	dead   bool
-	thaw   time.Duration
-	stale  bool
-	drains drainView
+	w           *world
+	name        string
+	shard       *owner.Shard
+	fleet       *owner.Fleet
+	links       map[*agentModel]*link
+	dead        bool
+	frozenUntil time.Duration
+	replaced    bool
+	drains      drainView
 	// cut says that the group has dropped it and can't be asked.
-	cut    bool
-	writes bool
+	unconfirmed bool
+	writing     bool
 	// rejected is set while the store has not taken a write since it rejected one.
 	rejected bool
 }
@@ -37,15 +37,15 @@
 	session int64
 	up      bool
 	// there and back are when the last message each way arrives.
-	there, back time.Duration
+	lastToAgent, lastToOwner time.Duration
 	// again is when the owner dials anew after the link has ended.
-	again time.Duration
+	redialAt time.Duration
 }
 
 func newOwner(w *world, name string, epoch int64) *ownerModel {
-	o := &ownerModel{w: w, name: name, fleet: owner.NewFleet(1, anyLoad()), links: make(map[*agentModel]*link), drains: drainView{book: &drains.Tracker{}}}
+	o := &ownerModel{w: w, name: name, fleet: owner.NewFleet(1, acceptAllParams()), links: make(map[*agentModel]*link), drains: drainView{tracker: &drains.Tracker{}}}
 	var mayRun []string
-	if w.m != agentsNotNamed {
+	if w.mutant != formerAgentsNotRead {
 		mayRun = slices.Clone(w.store.agents)
 	}
 	o.shard = owner.New(w.now, 0, epoch, w.ownerBounds(), o.fleet, w.records(), mayRun)
@@ -54,23 +54,23 @@
 
 // confirmed reports whether the group has dealt the shard to this owner as far as
 // it can know: the confirmation ends before another owner can have been given it.
-func (o *ownerModel) confirmed() bool { return !o.cut || o.w.m == claimsUnconfirmed }
+func (o *ownerModel) confirmed() bool { return !o.unconfirmed || o.w.mutant == claimsUnconfirmed }
 
 func (o *ownerModel) open() {
 	o.w.trace("- %s opens with epoch %d, agents %v", o.name, o.shard.Epoch, o.w.store.agents)
-	o.followDrains()
+	o.pollDrains()
 	o.tick()
 }
 
 // gone says that the process is killed.
-func (o *ownerModel) gone() bool { return o.dead }
+func (o *ownerModel) killed() bool { return o.dead }
 
 // run has something done once the process runs: it may be frozen.
 func (o *ownerModel) run(do func()) {
-	if o.gone() {
+	if o.killed() {
 		return
 	}
-	if wait := o.thaw - o.w.now; wait > 0 {
+	if wait := o.frozenUntil - o.w.now; wait > 0 {
 		o.w.after(wait, func() { o.run(do) })
 		return
 	}
@@ -80,49 +80,49 @@
 func (o *ownerModel) kill() {
 	o.dead = true
 	for _, l := range o.links {
-		l.down(o.w.upTo(50 * time.Millisecond))
+		l.down(o.w.randUpTo(50 * time.Millisecond))
 	}
 }
 
-func (o *ownerModel) freeze(d time.Duration) { o.thaw = max(o.thaw, o.w.now+d) }
+func (o *ownerModel) freeze(d time.Duration) { o.frozenUntil = max(o.frozenUntil, o.w.now+d) }
 
 // dropped is called when another owner takes over. The process notices within
 // its limit on renewing without the group, or by the store.
-func (o *ownerModel) dropped() {
-	if o.stale || o.dead {
+func (o *ownerModel) loseOwnership() {
+	if o.replaced || o.dead {
 		return
 	}
-	o.stale, o.cut = true, true
-	if o.w.m == noRenewLimit {
+	o.replaced, o.unconfirmed = true, true
+	if o.w.mutant == noRenewLimit {
 		return
 	}
-	o.w.after(o.w.upTo(renewLimit), func() {
+	o.w.after(o.w.randUpTo(renewLimit), func() {
 		o.run(func() { o.apply(o.shard.Close()); o.kill() })
 	})
 }
 
 func (o *ownerModel) tick() {
 	o.run(func() {
-		o.shard.SetOwnershipConfirmed(!o.cut || o.w.m == waitsUnconfirmed)
+		o.shard.SetOwnershipConfirmed(!o.unconfirmed || o.w.mutant == lostLinksUnconfirmed)
 		o.apply(o.shard.Tick(o.w.now))
-		if o.rejected && o.w.now >= o.w.store.bad {
+		if o.rejected && o.w.now >= o.w.store.rejectsUntil {
 			o.rejected = false
 			o.apply(o.shard.Written(o.w.now, owner.Batch{}))
 		}
 		for _, a := range o.w.agents {
 			if l := o.links[a]; l != nil && l.up {
-				tell := l.tellDrains()
+				tell := l.drainsMessage()
 				l.toAgent(func() {
 					tell()
-					l.heard()
+					l.heartbeat()
 				})
-			} else if l == nil || o.w.now >= l.again {
+			} else if l == nil || o.w.now >= l.redialAt {
 				o.dial(a)
 			}
 		}
 		o.write()
 	})
-	if !o.gone() {
+	if !o.killed() {
 		o.w.after(50*time.Millisecond, o.tick)
 	}
 }
@@ -149,8 +149,8 @@
 	if l == nil {
 		return
 	}
-	l.again = o.w.now + away
-	l.down(o.w.upTo(min(away, 700*time.Millisecond)))
+	l.redialAt = o.w.now + away
+	l.down(o.w.randUpTo(min(away, 700*time.Millisecond)))
 }
 
 // down ends a link. The owner notices after a while, and the agent after a
@@ -168,7 +168,7 @@
 		})
 	})
 	if w.chance(0.7) {
-		w.after(w.upTo(700*time.Millisecond), func() {
+		w.after(w.randUpTo(700*time.Millisecond), func() {
 			l.agent.run(func() { l.agent.worker.Unlinked(w.now, l.owner.name) })
 		})
 	}
@@ -176,11 +176,11 @@
 
 func (l *link) toAgent(do func()) {
 	w := l.owner.w
-	l.there = max(l.there, w.now+w.upTo(3*time.Millisecond))
-	life := l.agent.life
-	w.after(l.there-w.now, func() {
+	l.lastToAgent = max(l.lastToAgent, w.now+w.randUpTo(3*time.Millisecond))
+	life := l.agent.incarnation
+	w.after(l.lastToAgent-w.now, func() {
 		l.agent.run(func() {
-			if l.up && l.agent.life == life {
+			if l.up && l.agent.incarnation == life {
 				do()
 			}
 		})
@@ -189,8 +189,8 @@
 
 func (l *link) toOwner(do func()) {
 	w := l.owner.w
-	l.back = max(l.back, w.now+w.upTo(3*time.Millisecond))
-	w.after(l.back-w.now, func() {
+	l.lastToOwner = max(l.lastToOwner, w.now+w.randUpTo(3*time.Millisecond))
+	w.after(l.lastToOwner-w.now, func() {
 		l.owner.run(func() {
 			if l.up {
 				do()
@@ -201,7 +201,7 @@
 
 // heard is a sign of life at the agent, which ends the link of an owner that was
 // silent for too long.
-func (l *link) heard() {
+func (l *link) heartbeat() {
 	if !l.agent.worker.Heard(l.owner.w.now, l.owner.name) {
 		l.owner.cutLink(l.agent, 50*time.Millisecond)
 	}
@@ -218,7 +218,7 @@
 	for _, p := range fx.Orders {
 		order := p.Value
 		o.send(p.Node, func(l *link) func() {
-			tell := l.tellDrains()
+			tell := l.drainsMessage()
 			return func() {
 				tell()
 				l.agent.order(l, order)
@@ -252,29 +252,29 @@
 
 // write has the store take what is due, one call at a time.
 func (o *ownerModel) write() {
-	if o.writes || o.shard.Closed() || !o.shard.WriteDue(o.w.now) {
+	if o.writing || o.shard.Closed() || !o.shard.WriteDue(o.w.now) {
 		return
 	}
 	b := o.shard.NextBatch(o.w.now)
 	if b.Empty() {
 		return
 	}
-	o.writes = true
+	o.writing = true
 	o.append(b, false)
 }
 
 // append repeats a call until its fate is known.
 func (o *ownerModel) append(b owner.Batch, unknown bool) {
 	w := o.w
-	w.after(w.upTo(8*time.Millisecond), func() {
-		if o.gone() {
+	w.after(w.randUpTo(8*time.Millisecond), func() {
+		if o.killed() {
 			return
 		}
 		switch {
-		case w.store.epoch > o.shard.Epoch && w.m != noStoreFence:
+		case w.store.epoch > o.shard.Epoch && w.mutant != noStoreFence:
 			o.run(func() { o.apply(o.shard.Close()) })
 			return
-		case w.now < w.store.bad:
+		case w.now < w.store.rejectsUntil:
 			if unknown {
 				w.after(100*time.Millisecond, func() { o.append(b, true) })
 				return
@@ -283,8 +283,8 @@
 			o.finish(func() owner.Effects { return o.shard.Rejected(w.now, b, "store") })
 			return
 		}
-		w.trace("%s store takes %s", o.name, describe(b))
-		w.store.take(b, w.m)
+		w.trace("%s store takes %s", o.name, describeBatch(b))
+		w.store.apply(b, w.mutant)
 		if w.chance(0.05) {
 			// The answer is lost; the repeat is answered as the first.
 			w.after(60*time.Millisecond, func() { o.append(b, true) })
@@ -296,13 +296,13 @@
 
 func (o *ownerModel) finish(f func() owner.Effects) {
 	o.run(func() {
-		o.writes = false
+		o.writing = false
 		o.apply(f())
 		o.write()
 	})
 }
 
-func (s *storeModel) take(b owner.Batch, m mutant) {
+func (s *storeModel) apply(b owner.Batch, m mutant) {
 	for i := range b.Writes {
 		write := &b.Writes[i]
 		if write.Record == nil {
@@ -331,7 +331,7 @@
 	})
 }
 
-func describe(b owner.Batch) string {
+func describeBatch(b owner.Batch) string {
 	out := fmt.Sprint("agents ", b.Agents)
 	for _, w := range b.Writes {
 		if w.Record != nil {
--- a/coordination/model/race_off_test.go
+++ b/coordination/model/race_off_test.go
@@ -2,4 +2,4 @@
 
 package model
 
-const raced = false
+const raceDetector = false
--- a/coordination/model/race_on_test.go
+++ b/coordination/model/race_on_test.go
@@ -2,6 +2,6 @@
 
 package model
 
-// raced tells that the race detector is on, with which worlds take ten times as
+// raceDetector tells that the race detector is on, with which worlds take ten times as
 // long.
-const raced = true
+const raceDetector = true
--- a/coordination/model/executor_test.go
+++ b/coordination/model/server_test.go
@@ -11,74 +11,74 @@
 var capacity = job.Demand{CPUMillis: 2000, MemoryMB: 2000}
 
 // executor is a backend server: leases, fences, late calls, ends by number.
-type executor struct {
+type serverModel struct {
 	w     *world
 	agent *agentModel
 	// rate and offset make its clock.
-	rate     float64
-	offset   time.Duration
-	instance int
-	up       bool
+	clockRate   float64
+	clockOffset time.Duration
+	instance    int
+	up          bool
 	// troubled is the time until which calls are late and answers lost.
-	troubled time.Duration
+	unreliableUntil time.Duration
 
-	fence    int64
-	deadline int64
-	runs     map[job.TaskID]int64
-	barred   map[job.TaskID]int64
-	ends     []execEnd
-	ended    int64
-	reports  int64
+	fencingToken  int64
+	leaseDeadline int64
+	runs          map[job.TaskID]int64
+	barred        map[job.TaskID]int64
+	ends          []serverEnd
+	lastEndSeq    int64
+	lastReportSeq int64
 
 	// capacity is what it says that it has; was is what it had said before, which counts
 	// until wasUntil for starts that were decided by it.
-	capacity job.Demand
-	was      int64
-	wasUntil time.Duration
+	capacity       job.Demand
+	formerCPU      int64
+	formerCPUUntil time.Duration
 }
 
-type execEnd struct {
+type serverEnd struct {
 	worker.ListedEnd
 	lapsed bool
 }
 
-func newExecutor(w *world, a *agentModel) *executor {
-	e := &executor{w: w, agent: a, offset: w.upTo(time.Hour)}
+func newServer(w *world, a *agentModel) *serverModel {
+	e := &serverModel{w: w, agent: a, clockOffset: w.randUpTo(time.Hour)}
 	bound := 0.02
-	if w.m == wildClocks {
+	if w.mutant == excessClockDrift {
 		bound = 0.15
 	}
-	e.rate = 1 + bound*(2*w.r.Float64()-1)
+	e.clockRate = 1 + bound*(2*w.rand.Float64()-1)
 	e.boot()
-	e.watch()
+	e.tick()
 	return e
 }
 
-func (e *executor) boot() {
+func (e *serverModel) boot() {
 	e.instance++
 	e.up = true
 	e.w.trace("- %s is up", e.name())
-	e.fence, e.deadline, e.ended, e.ends = 0, 0, 0, nil
-	e.capacity, e.was = capacity, 0
+	e.fencingToken, e.leaseDeadline, e.lastEndSeq, e.ends = 0, 0, 0, nil
+	e.capacity, e.formerCPU = capacity, 0
 	e.runs, e.barred = make(map[job.TaskID]int64), make(map[job.TaskID]int64)
 	e.report()
 }
 
-func (e *executor) name() string { return e.agent.name + "-" + strconv.Itoa(e.instance) }
+func (e *serverModel) name() string { return e.agent.name + "-" + strconv.Itoa(e.instance) }
 
-func (e *executor) clock() int64 {
-	return (time.Duration(float64(e.w.now-time.Hour)*e.rate) + e.offset).Milliseconds()
+func (e *serverModel) clock() int64 {
+	return (time.Duration(float64(e.w.now-time.Hour)*e.clockRate) + e.clockOffset).Milliseconds()
 }
 
 // report tells the agent beside it that it is there.
-func (e *executor) report() {
-	e.reports++
-	s := worker.Server{Instance: e.name(), Service: "desk", Capacity: e.capacity, Seq: e.reports}
-	if e.w.m == capacityKept {
+func (e *serverModel) report() {
+	e.lastReportSeq++
+	s := worker.Server{Instance: e.name(), Service: "desk", Capacity: e.capacity, Seq: e.lastReportSeq}
+	if e.w.mutant == capacityNotUpdated {
 		s.Capacity = capacity
 	}
 	at := e.clock()
-	e.w.after(e.w.upTo(3*time.Millisecond), func() {
+	e.w.after(e.w.randUpTo(3*time.Millisecond), func() {
 		e.agent.run(func() {
 			if e.agent.worker != nil && s.Instance == e.name() && e.up {
 				e.agent.apply(e.agent.worker.Report(e.w.now, s, at))
@@ -88,15 +88,15 @@
 }
 
 // crash ends everything here; another instance comes up.
-func (e *executor) crash(away time.Duration) {
+func (e *serverModel) crash(away time.Duration) {
 	if !e.up {
 		return
 	}
 	for task := range e.runs {
 		e.w.task(task).running--
 	}
-	e.w.blindTo(func(t *taskLedger) bool {
-		return t.on == e.name() && (t.by != e.agent.life || e.agent.caller == nil)
+	e.w.markUnobserved(func(t *taskLedger) bool {
+		return t.lastServer == e.name() && (t.lastIncarnation != e.agent.incarnation || e.agent.ownerLink == nil)
 	})
 	e.runs = nil
 	e.up = false
@@ -105,14 +105,14 @@
 
 // roomGrace is how long after it has shrunk a start may go by the room before: an agent may
 // be frozen for 3 s, and a call be late by 1.5.
-const roomGrace = 6 * time.Second
+const capacityGrace = 6 * time.Second
 
 // resize changes what the server says that it has, for a time.
-func (e *executor) resize(cpuMillis int64, length time.Duration) {
+func (e *serverModel) resize(cpuMillis int64, length time.Duration) {
 	if !e.up {
 		return
 	}
-	e.was, e.wasUntil = e.room(), e.w.now+roomGrace
+	e.formerCPU, e.formerCPUUntil = e.maxCPU(), e.w.now+capacityGrace
 	e.capacity.CPUMillis = cpuMillis
 	instance := e.instance
 	e.w.after(length, func() {
@@ -123,26 +123,26 @@
 }
 
 // room is what runs may take at most.
-func (e *executor) room() int64 {
-	if e.w.now < e.wasUntil {
-		return max(e.was, e.capacity.CPUMillis)
+func (e *serverModel) maxCPU() int64 {
+	if e.w.now < e.formerCPUUntil {
+		return max(e.formerCPU, e.capacity.CPUMillis)
 	}
 	return e.capacity.CPUMillis
 }
 
 // watch lets leases run out.
-func (e *executor) watch() {
+func (e *serverModel) tick() {
 	if e.up {
-		e.lapse()
-		if e.reports%10 == 0 || e.w.chance(0.1) {
+		e.expireLease()
+		if e.lastReportSeq%10 == 0 || e.w.chance(0.1) {
 			e.report()
 		}
 	}
-	e.w.after(10*time.Millisecond, e.watch)
+	e.w.after(10*time.Millisecond, e.tick)
 }
 
-func (e *executor) lapse() {
-	if e.clock() <= e.deadline {
+func (e *serverModel) expireLease() {
+	if e.clock() <= e.leaseDeadline {
 		return
 	}
 	for task := range e.runs {
@@ -153,24 +153,24 @@
 	}
 }
 
-func (e *executor) fenced(life int64) bool {
-	if life < e.fence && e.w.m != noCallFence {
+func (e *serverModel) fenced(life int64) bool {
+	if life < e.fencingToken && e.w.mutant != noCallFence {
 		return true
 	}
-	e.fence = max(e.fence, life)
+	e.fencingToken = max(e.fencingToken, life)
 	return false
 }
 
-func (e *executor) runStart(life int64, c worker.StartCall) bool {
-	e.w.trace("%s start %v at life %d fence %d clock %d deadline %d up %v for %s", e.name(), c.Run, life, e.fence, e.clock(), c.Deadline, e.up, c.Instance)
+func (e *serverModel) runStart(life int64, c worker.StartCall) bool {
+	e.w.trace("%s start %v at life %d fence %d clock %d deadline %d up %v for %s", e.name(), c.Run, life, e.fencingToken, e.clock(), c.Deadline, e.up, c.Instance)
 	if !e.up || c.Instance != e.name() || e.fenced(life) {
 		return false
 	}
-	if c.Deadline <= e.clock() && e.w.m != noDeadline {
+	if c.Deadline <= e.clock() && e.w.mutant != noStartDeadline {
 		return false
 	}
-	e.lapse()
-	e.deadline = max(e.deadline, c.Deadline)
+	e.expireLease()
+	e.leaseDeadline = max(e.leaseDeadline, c.Deadline)
 	task := c.Run.Task
 	number, there := e.runs[task]
 	if there && number == c.Run.Number {
@@ -180,19 +180,19 @@
 		return false
 	}
 	e.runs[task] = c.Run.Number
-	e.began(task)
+	e.checkStart(task)
 	instance := e.instance
 	if e.w.client.crashes(task) {
-		e.w.after(e.w.upTo(100*time.Millisecond), func() { e.crashedBy(task, c.Run.Number, instance) })
+		e.w.after(e.w.randUpTo(100*time.Millisecond), func() { e.crashByTask(task, c.Run.Number, instance) })
 		return true
 	}
-	length := e.w.upTo(900 * time.Millisecond)
+	length := e.w.randUpTo(900 * time.Millisecond)
 	if e.w.chance(0.1) {
-		length = e.w.upTo(4 * time.Second)
+		length = e.w.randUpTo(4 * time.Second)
 	}
 	e.w.after(length, func() {
 		if e.up && e.instance == instance && e.runs[task] == c.Run.Number {
-			e.lapse()
+			e.expireLease()
 			if _, still := e.runs[task]; still {
 				kind := job.Done
 				if e.w.chance(0.1) {
@@ -206,76 +206,76 @@
 }
 
 // began holds a start against what must hold.
-func (e *executor) began(task job.TaskID) {
+func (e *serverModel) checkStart(task job.TaskID) {
 	t := e.w.task(task)
 	t.running++
 	t.starts++
-	t.on, t.by = e.name(), e.agent.life
+	t.lastServer, t.lastIncarnation = e.name(), e.agent.incarnation
 	if t.running > 1 {
-		e.w.fault(string(task.Job), "two runs at a time of %v", task)
+		e.w.addViolation(string(task.Job), "two runs at a time of %v", task)
 	}
-	if t.noted {
-		e.w.fault(string(task.Job), "a run after the acknowledged end of %v", task)
+	if t.endAcked {
+		e.w.addViolation(string(task.Job), "a run after the acknowledged end of %v", task)
 	}
-	if t.crashes >= mostCrashes && e.agent.inTouch() {
-		t.after++
+	if t.crashes >= maxCrashes && e.agent.stable() {
+		t.startsAfterCrashes++
 	}
-	if t.after == mostStartsAfter {
-		e.w.fault(string(task.Job), "%v was started %d times after %d servers had crashed under it", task, t.after, t.crashes)
+	if t.startsAfterCrashes == excessStartsAfterCrashes {
+		e.w.addViolation(string(task.Job), "%v was started %d times after %d servers had crashed under it", task, t.startsAfterCrashes, t.crashes)
 	}
-	if int64(len(e.runs))*taskDemand.CPUMillis > e.room() {
-		e.w.fault(e.agent.name, "%s runs more than fits", e.name())
+	if int64(len(e.runs))*taskDemand.CPUMillis > e.maxCPU() {
+		e.w.addViolation(e.agent.name, "%s runs more than fits", e.name())
 	}
 	if e.w.client.jobs[task.Job].refused {
-		e.w.fault(string(task.Job), "a run of %v, which was refused for good", task)
+		e.w.addViolation(string(task.Job), "a run of %v, which was refused for good", task)
 	}
 }
 
 const (
 	// mostCrashes is the number of servers that a task may take down, and mostStartsAfter
 	// that of its starts after them which is one too many.
-	mostCrashes     = 3
-	mostStartsAfter = 3
+	maxCrashes               = 3
+	excessStartsAfterCrashes = 3
 )
 
 // crashedBy has a task that crashes its servers take this one down.
-func (e *executor) crashedBy(task job.TaskID, number int64, instance int) {
+func (e *serverModel) crashByTask(task job.TaskID, number int64, instance int) {
 	if !e.up || e.instance != instance || e.runs[task] != number {
 		return
 	}
 	e.w.trace("%s is crashed by %v number %d", e.name(), task, number)
 	e.w.countCrash(task, e.agent)
-	e.crash(e.w.upTo(3 * time.Second))
+	e.crash(e.w.randUpTo(3 * time.Second))
 }
 
 // told is how long the news of a crash may take: the server is back after 3 s at most, and
 // its lease is over before.
-const told = 4 * time.Second
+const crashReportTime = 4 * time.Second
 
 // countCrash counts a crash against a task once its news had the time to be told, if nobody
 // who had it was lost meanwhile: an agent that dies beside a crash, or an owner before it has
 // recorded what it was told while the agent dies too, leaves nobody who knows.
 func (w *world) countCrash(task job.TaskID, a *agentModel) {
-	life, o, l := a.life, w.current(), a.caller
-	w.after(told, func() {
-		undisturbed := a.life == life && w.current() == o && l != nil && l.up && a.caller == l && w.now >= a.thaw && w.now >= o.thaw
+	life, o, l := a.incarnation, w.newestOwner(), a.ownerLink
+	w.after(crashReportTime, func() {
+		undisturbed := a.incarnation == life && w.newestOwner() == o && l != nil && l.up && a.ownerLink == l && w.now >= a.frozenUntil && w.now >= o.frozenUntil
 		if undisturbed {
 			w.task(task).crashes++
 		}
 	})
 }
 
-func (e *executor) end(task job.TaskID, kind job.EndKind) {
+func (e *serverModel) end(task job.TaskID, kind job.EndKind) {
 	number := e.runs[task]
 	e.w.trace("%s end %v number %d %v", e.name(), task, number, kind)
 	delete(e.runs, task)
 	e.barred[task] = number
 	e.w.task(task).running--
-	e.ended++
-	e.ends = append(e.ends, execEnd{ListedEnd: worker.ListedEnd{Seq: e.ended, Run: runOf(task, number), Kind: kind}})
+	e.lastEndSeq++
+	e.ends = append(e.ends, serverEnd{ListedEnd: worker.ListedEnd{Seq: e.lastEndSeq, Run: runOf(task, number), Kind: kind}})
 }
 
-func (e *executor) runStop(life int64, c worker.StopCall) bool {
+func (e *serverModel) runStop(life int64, c worker.StopCall) bool {
 	if !e.up || c.Instance != e.name() || e.fenced(life) {
 		return false
 	}
@@ -288,15 +288,15 @@
 	return true
 }
 
-func (e *executor) hold(life int64, c worker.HoldCall, h *worker.HoldResult) bool {
+func (e *serverModel) hold(life int64, c worker.HoldCall, h *worker.HoldResult) bool {
 	if !e.up || c.Instance != e.name() || e.fenced(life) {
 		return false
 	}
-	e.lapse()
-	e.deadline = max(e.deadline, c.Deadline)
+	e.expireLease()
+	e.leaseDeadline = max(e.leaseDeadline, c.Deadline)
 	for len(e.ends) > 0 && e.ends[0].Seq <= c.Acked {
 		if end := e.ends[0]; end.Kind == job.Done && !end.lapsed {
-			e.noted(end.Run.Task)
+			e.endAcknowledged(end.Run.Task)
 		}
 		e.ends = e.ends[1:]
 	}
@@ -312,16 +312,16 @@
 
 // noted takes in that an end as done was acknowledged: the task is done, and
 // whoever comes later must know.
-func (e *executor) noted(task job.TaskID) {
+func (e *serverModel) endAcknowledged(task job.TaskID) {
 	e.w.trace("%s end of %v is acknowledged", e.name(), task)
 	t := e.w.task(task)
 	if t.running > 0 {
-		e.w.fault(string(task.Job), "an end of %v was acknowledged that a run has replaced", task)
+		e.w.addViolation(string(task.Job), "an end of %v was acknowledged that a run has replaced", task)
 	}
-	t.noted = true
+	t.endAcked = true
 }
 
-func (e *executor) failure(c worker.HoldCall, answered bool) worker.HoldFailure {
+func (e *serverModel) holdFailure(c worker.HoldCall, answered bool) worker.HoldFailure {
 	switch {
 	case !answered:
 		return worker.NoAnswer
--- a/coordination/model/trace_test.go
+++ b/coordination/model/trace_test.go
@@ -7,7 +7,7 @@
 )
 
 // history is how many of the last lines of a world's life are kept.
-const history = 20_000
+const maxTraceLines = 20_000
 
 // traceLine is one line of a world's life. Machines iterate over maps, so a seed
 // doesn't give the same life twice: what led to a fault is kept instead.
@@ -17,17 +17,17 @@
 }
 
 func (w *world) trace(format string, args ...any) {
-	w.lines = append(w.lines, traceLine{w.now - time.Hour, fmt.Sprintf(format, args...)})
-	if len(w.lines) > 2*history {
-		w.lines = append([]traceLine{}, w.lines[history:]...)
+	w.traceLines = append(w.traceLines, traceLine{w.now - time.Hour, fmt.Sprintf(format, args...)})
+	if len(w.traceLines) > 2*maxTraceLines {
+		w.traceLines = append([]traceLine{}, w.traceLines[maxTraceLines:]...)
 	}
 }
 
 // tail returns the last lines that concern a name.
-func (w *world) tail(name string, most int) string {
+func (w *world) traceOf(name string, most int) string {
 	var out []string
-	for i := len(w.lines) - 1; i >= 0 && len(out) < most; i-- {
-		if l := w.lines[i]; strings.Contains(l.text, name) || strings.HasPrefix(l.text, "- ") {
+	for i := len(w.traceLines) - 1; i >= 0 && len(out) < most; i-- {
+		if l := w.traceLines[i]; strings.Contains(l.text, name) || strings.HasPrefix(l.text, "- ") {
 			out = append([]string{fmt.Sprint(l.at, " ", l.text)}, out...)
 		}
 	}
--- a/coordination/model/world_test.go
+++ b/coordination/model/world_test.go
@@ -16,86 +16,86 @@
 type mutant string
 
 const (
-	whole mutant = ""
+	unmutated mutant = ""
 	// The store takes writes of earlier epochs.
 	noStoreFence mutant = "store takes earlier epochs"
 	// Agents answer claims without the runs they have.
 	claimsWithoutRuns mutant = "claims answered without runs"
 	// A new owner doesn't know which agents may have runs.
-	agentsNotNamed mutant = "agents of earlier owners not read"
+	formerAgentsNotRead mutant = "agents of earlier owners not read"
 	// Orders go out before the agent stands in the store.
 	agentsNotWritten mutant = "agents not written before orders"
 	// Unreached agents of earlier owners are not waited for.
 	noTakeoverWait mutant = "no wait for unreached agents"
 	// Lost links are given up at once.
-	noWaitOut mutant = "lost links given up at once"
+	noLostLinkWait mutant = "lost links given up at once"
 	// Agents leave the runs of silent owners alone.
-	noOwnerSilence mutant = "silent owners' runs go on"
+	noOwnerTimeout mutant = "silent owners' runs go on"
 	// Callers are told of the acceptance before it is written.
-	acceptedUnwritten mutant = "accepted before written"
+	acceptedBeforeWrite mutant = "accepted before written"
 	// Ends are acknowledged before they are written.
-	settledUnwritten mutant = "ends settled before written"
+	settledBeforeWrite mutant = "ends settled before written"
 	// Agents take orders of earlier owners and links.
-	anyOrder mutant = "orders of any epoch and session"
+	noOrderFence mutant = "orders of any epoch and session"
 	// The executor takes calls of an agent's earlier life.
 	noCallFence mutant = "calls of earlier lives"
 	// Ends that a later run has replaced are acknowledged.
-	voidAcked mutant = "void ends acknowledged"
+	voidEndsAcked mutant = "void ends acknowledged"
 	// The executor starts what comes after its deadline.
-	noDeadline mutant = "starts after their deadline"
+	noStartDeadline mutant = "starts after their deadline"
 	// Clocks differ by more than the platform's bound.
-	wildClocks mutant = "clocks 15 % off"
+	excessClockDrift mutant = "clocks 15 % off"
 	// Owners that the group has dropped give up agents and start their runs anew.
-	waitsUnconfirmed mutant = "lost links waited out without a confirmation"
+	lostLinksUnconfirmed mutant = "lost links waited out without a confirmation"
 	// Repeated orders start what is gone.
-	repeatsStart mutant = "repeated orders start runs"
+	repeatsStartRuns mutant = "repeated orders start runs"
 	// Owners that the group has dropped claim agents that have forgotten.
 	claimsUnconfirmed mutant = "claims without a confirmation"
 	// Agents don't tell that runs were lost with their server.
-	lossesUntold mutant = "losses with a server not told"
+	lossesNotReported mutant = "losses with a server not told"
 	// Agents go on with the capacity that their server had at first.
-	capacityKept mutant = "capacity read once"
+	capacityNotUpdated mutant = "capacity read once"
 	// Agents are told of drains and go on starting.
 	drainsIgnored mutant = "drains ignored by agents"
 	// Agents whose callers have lost the store don't look into it.
-	drainsNotLooked mutant = "drains not looked for"
+	drainsNotRead mutant = "drains not looked for"
 	// What a process tells of drains counts, however old it is.
-	drainsGoBack mutant = "older drains taken for newer"
+	olderDrainsAccepted mutant = "older drains taken for newer"
 	// Owners that the group has dropped never stop renewing.
 	noRenewLimit mutant = "dropped owners go on for ever"
 )
 
 const (
-	agents      = 2
-	renewLimit  = 6 * time.Second
-	lease       = time.Second
-	ownerSilent = 1300 * time.Millisecond
-	waitOut     = ownerSilent + lease + 300*time.Millisecond
+	numAgents       = 2
+	renewLimit      = 6 * time.Second
+	lease           = time.Second
+	ownerTimeout    = 1300 * time.Millisecond
+	lostLinkTimeout = ownerTimeout + lease + 300*time.Millisecond
 	// faultsEnd is when the last fault begins, calm when all must be done.
-	faultsEnd = 25 * time.Second
-	calm      = 110 * time.Second
+	faultsEnd   = 25 * time.Second
+	worldLength = 110 * time.Second
 )
 
 // world has a store, owners that take one shard over from one another, agents
 // with an executor each, and a client. All of it runs on one thread in virtual
 // time; the clocks of executors run fast or slow.
 type world struct {
-	r     *rand.Rand
-	m     mutant
-	now   time.Duration
-	queue eventQueue
-	seq   int
-	steps int
-	lines []traceLine
+	rand       *rand.Rand
+	mutant     mutant
+	now        time.Duration
+	queue      eventQueue
+	seq        int
+	steps      int
+	traceLines []traceLine
 
-	store   storeModel
-	owners  []*ownerModel
-	agents  []*agentModel
-	client  client
-	ledger  map[job.TaskID]*taskLedger
-	drains  drainLog
-	faults  []string
-	session int64
+	store      storeModel
+	owners     []*ownerModel
+	agents     []*agentModel
+	client     client
+	ledger     map[job.TaskID]*taskLedger
+	drains     drainLog
+	violations []string
+	session    int64
 }
 
 type event struct {
@@ -124,13 +124,15 @@
 	heap.Push(&w.queue, event{at: w.now + d, seq: w.seq, do: do})
 }
 
-func (w *world) chance(p float64) bool { return w.r.Float64() < p }
+func (w *world) chance(p float64) bool { return w.rand.Float64() < p }
 
-func (w *world) upTo(d time.Duration) time.Duration { return time.Duration(w.r.Int64N(int64(d)) + 1) }
+func (w *world) randUpTo(d time.Duration) time.Duration {
+	return time.Duration(w.rand.Int64N(int64(d)) + 1)
+}
 
 // fault notes that something happened that never may, to whatever has this name.
-func (w *world) fault(name, format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf("%v: ", w.now-time.Hour)+fmt.Sprintf(format, args...)+"\n"+w.tail(name, 80))
+func (w *world) addViolation(name, format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now-time.Hour)+fmt.Sprintf(format, args...)+"\n"+w.traceOf(name, 80))
 }
 
 // storeModel is the platform's store: one partition of keyed records.
@@ -139,7 +141,7 @@
 	records map[job.ID][]byte
 	agents  []string
 	// bad is the time until which writes are rejected.
-	bad time.Duration
+	rejectsUntil time.Duration
 }
 
 // taskLedger is what must hold of a task, whoever believes what.
@@ -149,15 +151,15 @@
 	// blind is set when it ran on a backend server that is gone, and so is the
 	// agent's life that knew of it. What became of it only its owner can tell, and
 	// if that is lost too, nobody: that it isn't repeated is not promised then.
-	blind bool
+	unobserved bool
 	// on is where it was started last, and by which life of the agent.
-	on string
-	by int64
+	lastServer      string
+	lastIncarnation int64
 	// noted is set once an end as done was acknowledged with its lease held.
-	noted bool
+	endAcked bool
 	// crashes counts the servers that the task has taken down, and after its starts after
 	// the last that it may.
-	crashes, after int
+	crashes, startsAfterCrashes int
 }
 
 func (w *world) task(id job.TaskID) *taskLedger {
@@ -171,33 +173,33 @@
 
 // blindTo notes that backend servers are gone with the agents' lives that knew
 // what they ran.
-func (w *world) blindTo(gone func(*taskLedger) bool) {
+func (w *world) markUnobserved(gone func(*taskLedger) bool) {
 	for _, t := range w.ledger {
-		t.blind = t.blind || gone(t)
+		t.unobserved = t.unobserved || gone(t)
 	}
 }
 
 func newWorld(seed uint64, m mutant) *world {
 	w := &world{
-		r: rand.New(rand.NewPCG(seed, 1)), m: m, now: time.Hour,
+		rand: rand.New(rand.NewPCG(seed, 1)), mutant: m, now: time.Hour,
 		store:  storeModel{records: make(map[job.ID][]byte)},
 		ledger: make(map[job.TaskID]*taskLedger),
 		drains: drainLog{since: make(map[string]time.Duration)},
 	}
 	w.client = client{w: w, jobs: make(map[job.ID]*clientJob)}
-	for i := range agents {
+	for i := range numAgents {
 		w.agents = append(w.agents, newAgent(w, fmt.Sprintf("a%d", i)))
 	}
 	w.takeOver()
-	w.client.begin()
-	w.troubles()
+	w.client.start()
+	w.scheduleFaults()
 	return w
 }
 
 // run plays the world to its end.
 func (w *world) run() {
-	end := time.Hour + calm
-	for w.queue.Len() > 0 && len(w.faults) == 0 {
+	end := time.Hour + worldLength
+	for w.queue.Len() > 0 && len(w.violations) == 0 {
 		e := heap.Pop(&w.queue).(event)
 		if e.at > end {
 			break
@@ -206,82 +208,82 @@
 		w.steps++
 		e.do()
 	}
-	if len(w.faults) == 0 {
-		w.client.settled()
+	if len(w.violations) == 0 {
+		w.client.checkAllEnded()
 	}
 }
 
 // troubles schedules the faults.
-func (w *world) troubles() {
-	for at := w.upTo(2 * time.Second); at < faultsEnd; at += w.upTo(3 * time.Second) {
-		w.after(at, w.trouble)
+func (w *world) scheduleFaults() {
+	for at := w.randUpTo(2 * time.Second); at < faultsEnd; at += w.randUpTo(3 * time.Second) {
+		w.after(at, w.injectFault)
 	}
 }
 
-func (w *world) trouble() {
-	a := w.agents[w.r.IntN(len(w.agents))]
-	switch w.r.IntN(15) {
+func (w *world) injectFault() {
+	a := w.agents[w.rand.IntN(len(w.agents))]
+	switch w.rand.IntN(15) {
 	case 0:
-		w.current().kill()
-		w.after(w.upTo(2*time.Second), w.takeOver)
+		w.newestOwner().kill()
+		w.after(w.randUpTo(2*time.Second), w.takeOver)
 	case 1:
 		// The group drops the owner, which doesn't know.
 		w.takeOver()
 	case 2:
-		w.current().freeze(w.upTo(4 * time.Second))
-		w.after(1200*time.Millisecond+w.upTo(time.Second), w.takeOver)
+		w.newestOwner().freeze(w.randUpTo(4 * time.Second))
+		w.after(1200*time.Millisecond+w.randUpTo(time.Second), w.takeOver)
 	case 3:
-		a.restart(w.upTo(500 * time.Millisecond))
+		a.restart(w.randUpTo(500 * time.Millisecond))
 	case 4:
-		a.freeze(w.upTo(3 * time.Second))
+		a.freeze(w.randUpTo(3 * time.Second))
 	case 5:
-		a.exec.crash(w.upTo(time.Second))
+		a.server.crash(w.randUpTo(time.Second))
 	case 6:
-		w.current().cutLink(a, w.upTo(4*time.Second))
+		w.newestOwner().cutLink(a, w.randUpTo(4*time.Second))
 	case 7:
-		a.exec.troubled = w.now + w.upTo(2*time.Second)
+		a.server.unreliableUntil = w.now + w.randUpTo(2*time.Second)
 	case 8:
-		w.store.bad = w.now + w.upTo(2*time.Second)
+		w.store.rejectsUntil = w.now + w.randUpTo(2*time.Second)
 	case 9:
 		// Only the old owner reaches this agent, and it isn't the owner any more.
-		a.loyal, a.until = w.current(), w.now+w.upTo(14*time.Second)
+		a.reachableBy, a.partitionedUntil = w.newestOwner(), w.now+w.randUpTo(14*time.Second)
 		w.takeOver()
 	case 11:
 		// Starts are on their way when the agent's next life comes up.
-		a.exec.troubled = w.now + time.Second
-		w.after(w.upTo(800*time.Millisecond), func() { a.restart(w.upTo(30 * time.Millisecond)) })
+		a.server.unreliableUntil = w.now + time.Second
+		w.after(w.randUpTo(800*time.Millisecond), func() { a.restart(w.randUpTo(30 * time.Millisecond)) })
 	case 12:
-		a.exec.resize(int64(w.r.IntN(2))*taskDemand.CPUMillis, w.upTo(12*time.Second))
+		a.server.resize(int64(w.rand.IntN(2))*taskDemand.CPUMillis, w.randUpTo(12*time.Second))
 	case 13:
 		w.drain(a)
 	case 14:
 		// An owner loses the store, and operators drain a domain meanwhile.
-		o := w.current()
-		o.drains.blind = w.now + w.upTo(12*time.Second)
-		w.after(w.upTo(2*time.Second), func() { w.drain(a) })
+		o := w.newestOwner()
+		o.drains.storeLostUntil = w.now + w.randUpTo(12*time.Second)
+		w.after(w.randUpTo(2*time.Second), func() { w.drain(a) })
 	case 10:
-		a.loyal, a.until = nil, w.now+w.upTo(6*time.Second)
+		a.reachableBy, a.partitionedUntil = nil, w.now+w.randUpTo(6*time.Second)
 		for _, o := range w.owners {
 			o.cutLink(a, time.Second)
 		}
 	}
 }
 
-func (w *world) current() *ownerModel { return w.owners[len(w.owners)-1] }
+func (w *world) newestOwner() *ownerModel { return w.owners[len(w.owners)-1] }
 
 // takeOver has a new owner open the shard. Earlier ones go on until they notice.
 func (w *world) takeOver() {
-	if w.now < w.store.bad && len(w.owners) > 0 {
+	if w.now < w.store.rejectsUntil && len(w.owners) > 0 {
 		w.after(100*time.Millisecond, w.takeOver)
 		return
 	}
 	for _, o := range w.owners {
-		o.dropped()
+		o.loseOwnership()
 	}
 	w.store.epoch++
 	if len(w.owners) > 0 {
 		// Owners reach agents by links of their own.
-		w.store.epoch += int64(w.r.IntN(3))
+		w.store.epoch += int64(w.rand.IntN(3))
 	}
 	o := newOwner(w, fmt.Sprintf("o%d", len(w.owners)), w.store.epoch)
 	w.owners = append(w.owners, o)
@@ -302,21 +304,21 @@
 
 func (w *world) ownerBounds() owner.Bounds {
 	b := owner.Bounds{
-		LostLinkTimeout: waitOut, TakeoverTimeout: waitOut + renewLimit, Retention: time.Hour,
+		LostLinkTimeout: lostLinkTimeout, TakeoverTimeout: lostLinkTimeout + renewLimit, Retention: time.Hour,
 		MaxWriteDelay: 700 * time.Millisecond,
 	}
-	if w.m == noTakeoverWait {
+	if w.mutant == noTakeoverWait {
 		b.TakeoverTimeout = 0
 	}
-	if w.m == noWaitOut {
+	if w.mutant == noLostLinkWait {
 		b.LostLinkTimeout = 0
 	}
 	return b
 }
 
 func (w *world) workerBounds() worker.Bounds {
-	b := worker.Bounds{Lease: lease, OwnerTimeout: ownerSilent, ReconnectTimeout: 700 * time.Millisecond, AdoptionTimeout: 400 * time.Millisecond, Shards: 1}
-	if w.m == noOwnerSilence {
+	b := worker.Bounds{Lease: lease, OwnerTimeout: ownerTimeout, ReconnectTimeout: 700 * time.Millisecond, AdoptionTimeout: 400 * time.Millisecond, Shards: 1}
+	if w.mutant == noOwnerTimeout {
 		b.OwnerTimeout, b.AdoptionTimeout = time.Hour, time.Hour
 	}
 	return b
@@ -324,7 +326,7 @@
 
 // anyLoad accepts whatever comes: the worlds are about what must always hold, and
 // refusals would hide it.
-func anyLoad() owner.Params {
+func acceptAllParams() owner.Params {
 	p := owner.DefaultParams()
 	p.ObjectiveShare = 100
 	return p
