--- a/coordination/load/ablation_test.go
+++ b/coordination/load/ablation_test.go
@@ -33,7 +33,7 @@
 }
 
 // ways are other figures for decisions that matter; the first ones are those in use.
-var ways = []variant{
+var alternatives = []variant{
 	{"as it is", func(*owner.Params) {}},
 	{"aim share .65", func(p *owner.Params) { p.ObjectiveShare = 0.65 }},
 	{"aim share .85", func(p *owner.Params) { p.ObjectiveShare = 0.85 }},
@@ -54,21 +54,21 @@
 	share float64
 	fault func(*world)
 }{
-	{"small .75", small, grown, 0.75, nil},
-	{"small .9", small, grown, 0.9, nil},
-	{"small 1.15", small, grown, 1.15, nil},
-	{"large .9", large, grown, 0.9, nil},
-	{"large 1.15", large, grown, 1.15, nil},
-	{"shifted .9", large, shifted, 0.9, nil},
-	{"shifted 1.15", large, shifted, 1.15, nil},
-	{"wide .9", small, wide, 0.9, nil},
-	{"wide 1.15", small, wide, 1.15, nil},
-	{"burst", small, wide, 0.7, func(w *world) { w.burst(1.8, 2*time.Second) }},
-	{"slow", small, wide, 0.7, func(w *world) { w.slow(2, 6) }},
-	{"hang", small, wide, 0.7, func(w *world) { w.hang(2) }},
-	{"crash", small, wide, 0.7, func(w *world) { w.crash(2) }},
-	{"stale", small, wide, 0.8, func(w *world) { w.deaf(3) }},
-	{"restart", small, wide, 0.7, (*world).restart},
+	{"small .75", small, grownMix, 0.75, nil},
+	{"small .9", small, grownMix, 0.9, nil},
+	{"small 1.15", small, grownMix, 1.15, nil},
+	{"large .9", large, grownMix, 0.9, nil},
+	{"large 1.15", large, grownMix, 1.15, nil},
+	{"shifted .9", large, shiftedMix, 0.9, nil},
+	{"shifted 1.15", large, shiftedMix, 1.15, nil},
+	{"wide .9", small, wideMix, 0.9, nil},
+	{"wide 1.15", small, wideMix, 1.15, nil},
+	{"burst", small, wideMix, 0.7, func(w *world) { w.burst(1.8, 2*time.Second) }},
+	{"slow", small, wideMix, 0.7, func(w *world) { w.slow(2, 6) }},
+	{"hang", small, wideMix, 0.7, func(w *world) { w.hang(2) }},
+	{"crash", small, wideMix, 0.7, func(w *world) { w.crash(2) }},
+	{"stale", small, wideMix, 0.8, func(w *world) { w.delayUpdates(3) }},
+	{"restart", small, wideMix, 0.7, (*world).restart},
 }
 
 func TestAblation(t *testing.T) {
@@ -82,36 +82,36 @@
 //
 //	go test ./coordination/load -run TestWays -v -load.ways
 
-var waysTable = flag.Bool("load.ways", false, "play each day with each other way, and print what was served")
+var alternativesTable = flag.Bool("load.ways", false, "play each day with each other way, and print what was served")
 
 func TestWays(t *testing.T) {
-	if !*waysTable {
+	if !*alternativesTable {
 		t.Skip("prints a table with -load.ways")
 	}
-	printTable(ways)
+	printTable(alternatives)
 }
 
 // variant is a change of the figures in use.
 type variant struct {
-	name string
-	off  func(*owner.Params)
+	name  string
+	apply func(*owner.Params)
 }
 
 func printTable(variants []variant) {
 	table := make([][]string, len(variants))
 	var wg sync.WaitGroup
-	gate := make(chan struct{}, 4)
+	semaphore := make(chan struct{}, 4)
 	for i, m := range variants {
 		table[i] = make([]string, len(days))
 		for k, d := range days {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				gate <- struct{}{}
-				defer func() { <-gate }()
+				semaphore <- struct{}{}
+				defer func() { <-semaphore }()
 				s := d.setup
-				m.off(&s.params)
-				table[i][k] = cell(s, d.mix, d.share, d.fault)
+				m.apply(&s.params)
+				table[i][k] = tableCell(s, d.mix, d.share, d.fault)
 			}()
 		}
 	}
@@ -129,7 +129,7 @@
 
 // cell is the mean share of the worth served over the seeds, half the distance between
 // the best and the worst, and the share of the jobs that was not served at all.
-func cell(s setup, mix []class, share float64, fault func(*world)) string {
+func tableCell(s setup, mix []class, share float64, fault func(*world)) string {
 	var served []float64
 	var asked, lost int
 	for s.seed = range ablationSeeds {
@@ -138,10 +138,10 @@
 		if fault != nil {
 			w.after(time.Second, func() { fault(w) })
 		}
-		w.play(mix, share, 4*time.Second)
+		w.run(mix, share, 4*time.Second)
 		w.runUntil(w.now + 4*time.Second)
-		served = append(served, w.served(mix))
-		for _, t := range w.tally {
+		served = append(served, w.servedValue(mix))
+		for _, t := range w.tallies {
 			asked += t.asked
 			lost += t.refused + t.tooLate
 		}
--- a/coordination/load/crash_test.go
+++ b/coordination/load/crash_test.go
@@ -24,9 +24,9 @@
 	// crashDelay is how long after its start a task crashes its server.
 	crashDelay = 20 * time.Millisecond
 	// crashAway is how long a crashed server is away.
-	crashAway = 3 * time.Second
+	crashDowntime = 3 * time.Second
 	// patientLimit is how long clients wait whose jobs are judged by what becomes of them.
-	patientLimit = 30 * time.Second
+	patientTimeout = 30 * time.Second
 )
 
 // crashes reports whether a run crashes its backend server, and counts its start.
@@ -37,27 +37,27 @@
 	}
 	r.starts++
 	if r.lost >= 3 {
-		w.most = max(w.most, r.starts-r.third)
+		w.maxStartsAfterThird = max(w.maxStartsAfterThird, r.starts-r.startsAtThirdLoss)
 	}
 	return true
 }
 
 // crashedBy has a run crash the backend server of that life, if it is still there.
-func (a *agent) crashedBy(run job.RunID, lives int) {
-	if a.dark || a.lives != lives || !a.running[run] {
+func (a *agent) crashedBy(run job.RunID, instance int) {
+	if a.serverDown || a.serverInstance != instance || !a.running[run] {
 		return
 	}
 	r := a.w.jobs[run.Task.Job]
 	r.lost++
 	if r.lost == 3 {
-		r.third = r.starts
+		r.startsAtThirdLoss = r.starts
 	}
-	a.w.lost++
-	a.crash(crashAway)
+	a.w.serversLost++
+	a.crash(crashDowntime)
 }
 
 // sabotage has jobs come whose first task crashes its servers, so many a second.
-func (w *world) sabotage(c *class, perS float64, length time.Duration) (count int) {
+func (w *world) submitCrashers(c *class, perS float64, length time.Duration) (count int) {
 	for at := time.Duration(0); perS > 0 && at < length; at += time.Duration(float64(time.Second) / perS) {
 		count++
 		w.after(at, func() {
@@ -70,7 +70,7 @@
 }
 
 // crashDay is what a day with such tasks came to.
-type crashDay struct {
+type crashResult struct {
 	served float64
 	late   int
 	asked  int
@@ -78,20 +78,20 @@
 	crashers, lost, givenUp, most int
 }
 
-func playCrashes(s setup, share, perS float64, days int) crashDay {
-	var out crashDay
+func runCrashers(s setup, share, perS float64, days int) crashResult {
+	var out crashResult
 	for s.seed = range uint64(days) {
 		w := newWorld(s)
 		w.patient = true
 		w.runUntil(w.now + time.Second)
-		out.crashers += w.sabotage(&grown[2], perS, crashLength)
-		w.play(grown, share, crashLength)
+		out.crashers += w.submitCrashers(&grownMix[2], perS, crashLoadDuration)
+		w.run(grownMix, share, crashLoadDuration)
 		w.runUntil(w.now + 20*time.Second)
-		out.served += w.served(grown) / float64(days)
-		out.lost += w.lost
-		out.givenUp += w.givenUp
-		out.most = max(out.most, w.most)
-		for _, t := range w.tally {
+		out.served += w.servedValue(grownMix) / float64(days)
+		out.lost += w.serversLost
+		out.givenUp += w.wronglyGivenUp
+		out.most = max(out.most, w.maxStartsAfterThird)
+		for _, t := range w.tallies {
 			out.late += t.late + t.tooLate + t.refused
 			out.asked += t.asked
 		}
@@ -99,7 +99,7 @@
 	return out
 }
 
-const crashLength = 4 * time.Second
+const crashLoadDuration = 4 * time.Second
 
 // crashPolicies are the ways to judge that were weighed.
 var crashPolicies = []struct {
@@ -121,40 +121,40 @@
 	type row struct {
 		policy      string
 		share, perS float64
-		crashDay
+		crashResult
 	}
 	var rows []*row
-	gate := make(chan struct{}, 3)
+	semaphore := make(chan struct{}, 3)
 	var wg sync.WaitGroup
 	for _, p := range crashPolicies {
 		for _, share := range []float64{.7, .9} {
-			for _, perS := range []float64{0, 1, 5} {
-				if perS == 0 && p.name != crashPolicies[0].name {
+			for _, crashersPerSecond := range []float64{0, 1, 5} {
+				if crashersPerSecond == 0 && p.name != crashPolicies[0].name {
 					continue
 				}
-				r := &row{policy: p.name, share: share, perS: perS}
+				r := &row{policy: p.name, share: share, perS: crashersPerSecond}
 				rows = append(rows, r)
 				wg.Go(func() {
-					gate <- struct{}{}
-					defer func() { <-gate }()
+					semaphore <- struct{}{}
+					defer func() { <-semaphore }()
 					s := large
 					p.set(&s.params)
-					r.crashDay = playCrashes(s, share, perS, 2)
+					r.crashResult = runCrashers(s, share, crashersPerSecond, 2)
 				})
 			}
 		}
 	}
 	wg.Wait()
-	calm := make(map[float64]*row)
+	baseline := make(map[float64]*row)
 	for _, r := range rows {
 		if r.perS == 0 {
-			calm[r.share] = r
+			baseline[r.share] = r
 		}
 	}
 	fmt.Println("| policy | load | crashers a second | served | servers lost each | others late each | others given up | starts after three |")
 	for _, r := range rows {
 		n := float64(max(r.crashers, 1))
-		late := float64(r.late) - float64(calm[r.share].late)*float64(r.asked)/float64(calm[r.share].asked)
+		late := float64(r.late) - float64(baseline[r.share].late)*float64(r.asked)/float64(baseline[r.share].asked)
 		fmt.Printf("| %s | %.1f | %.0f | %.3f | %.2f | %.1f | %d | %d |\n", r.policy, r.share, r.perS, r.served, float64(r.lost)/n, late/n, r.givenUp, r.most)
 	}
 }
@@ -164,9 +164,9 @@
 // Each of them costs three servers at most, and nobody beside them is given up.
 func TestTasksThatCrashServersCostFew(t *testing.T) {
 	is := is.New(t)
-	d := playCrashes(large, .7, 5, 1)
+	d := runCrashers(large, .7, 5, 1)
 	t.Logf("%+v", d)
-	is.True(!judged || d.lost <= 3*d.crashers)
+	is.True(!checkBounds || d.lost <= 3*d.crashers)
 	is.Equal(d.givenUp, 0)
 	is.True(d.most <= 2)
 }
--- a/coordination/load/faults_test.go
+++ b/coordination/load/faults_test.go
@@ -7,19 +7,19 @@
 )
 
 // faultLasts is how long most faults last.
-const faultLasts = 1500 * time.Millisecond
+const faultDuration = 1500 * time.Millisecond
 
 // burst has more of the most urgent class come, times times as much, for a time.
 func (w *world) burst(times float64, length time.Duration) {
-	w.times = times
-	w.after(length, func() { w.times = 1 })
+	w.burstFactor = times
+	w.after(length, func() { w.burstFactor = 1 })
 }
 
 // slow has some backend servers take longer.
 func (w *world) slow(count int, times float64) {
 	for _, a := range w.agents[:count] {
-		a.speed = times
-		w.after(faultLasts, func() { a.speed = 1 })
+		a.durationFactor = times
+		w.after(faultDuration, func() { a.durationFactor = 1 })
 	}
 }
 
@@ -27,9 +27,9 @@
 // end until the fault is over.
 func (w *world) hang(count int) {
 	for _, a := range w.agents[:count] {
-		a.hangs = true
-		w.after(faultLasts, func() {
-			a.hangs = false
+		a.tasksHang = true
+		w.after(faultDuration, func() {
+			a.tasksHang = false
 			for run := range a.running {
 				a.end(run, job.Done)
 			}
@@ -47,24 +47,24 @@
 // crash ends an agent's backend server with all that runs there, and brings an empty one
 // in its place.
 func (a *agent) crash(away time.Duration) {
-	if a.dark {
+	if a.serverDown {
 		return
 	}
 	clear(a.running)
-	a.ends, a.ended = nil, 0
-	a.dark = true
-	a.lives++
+	a.ends, a.lastEndSeq = nil, 0
+	a.serverDown = true
+	a.serverInstance++
 	a.w.after(away, func() {
-		a.dark = false
+		a.serverDown = false
 		a.report()
 	})
 }
 
 // deaf delays the news that some agents tell of their load.
-func (w *world) deaf(count int) {
+func (w *world) delayUpdates(count int) {
 	for _, a := range w.agents[:count] {
-		a.deaf = true
-		w.after(faultLasts, func() { a.deaf = false })
+		a.slowUpdates = true
+		w.after(faultDuration, func() { a.slowUpdates = false })
 	}
 }
 
@@ -78,29 +78,29 @@
 	for _, a := range w.agents {
 		a.down = true
 	}
-	w.after(restartTakes, func() {
+	w.after(restartDuration, func() {
 		for _, a := range w.agents {
-			a.begin()
+			a.start()
 		}
 		for _, e := range w.entries {
-			e.begin()
+			e.start()
 		}
-		w.resend()
+		w.resendCutOff()
 	})
 }
 
 const (
-	restartTakes = 500 * time.Millisecond
+	restartDuration = 500 * time.Millisecond
 	// resendAfter is the clients' pause after they were cut off.
-	resendAfter = 1300 * time.Millisecond
+	resendDelay = 1300 * time.Millisecond
 )
 
 // resend has clients whose tries were cut off come again.
-func (w *world) resend() {
+func (w *world) resendCutOff() {
 	for _, r := range w.jobs {
 		if r.ended || r.entry == nil {
 			continue
 		}
-		w.after(resendAfter-restartTakes, func() { w.send(r) })
+		w.after(resendDelay-restartDuration, func() { w.send(r) })
 	}
 }
--- a/coordination/load/load_test.go
+++ b/coordination/load/load_test.go
@@ -10,26 +10,26 @@
 )
 
 // spreadCost is that of the agents.
-const spreadCost = 14 * time.Millisecond
+const pausePerPlacer = 14 * time.Millisecond
 
 // Sizes of the users' sites.
 var (
-	small = setup{entries: 3, agents: 11, spreadCost: spreadCost, params: owner.DefaultParams()}
-	large = setup{entries: 8, agents: 51, spreadCost: spreadCost, params: owner.DefaultParams(), links: linksPerEntry}
+	small = setup{entries: 3, agents: 11, pausePerPlacer: pausePerPlacer, params: owner.DefaultParams()}
+	large = setup{entries: 8, agents: 51, pausePerPlacer: pausePerPlacer, params: owner.DefaultParams(), links: linksPerEntry}
 )
 
 // day plays a mix at a share of what the agents carry, with some seeds, and returns
 // the share of the worth that was served and what became of each class.
-func day(s setup, mix []class, share float64) (float64, map[string]tally) {
+func runDays(s setup, mix []class, share float64) (float64, map[string]tally) {
 	var served float64
 	sum := make(map[string]tally)
 	for s.seed = range seeds {
 		w := newWorld(s)
 		w.runUntil(w.now + time.Second)
-		w.play(mix, share, 4*time.Second)
+		w.run(mix, share, 4*time.Second)
 		w.runUntil(w.now + 4*time.Second)
-		served += w.served(mix) / seeds
-		for queue, t := range w.tally {
+		served += w.servedValue(mix) / seeds
+		for queue, t := range w.tallies {
 			sum[queue] = sum[queue].plus(t)
 		}
 	}
@@ -44,9 +44,9 @@
 		setup
 		share, least float64
 	}{{small, 0.75, 0.96}, {small, 0.9, 0.91}, {large, 0.75, 0.99}, {large, 0.9, 0.97}} {
-		served, sum := day(d.setup, grown, d.share)
+		served, sum := runDays(d.setup, grownMix, d.share)
 		t.Logf("%d entries, load %.2f: served %.3f, %+v", d.entries, d.share, served, sum)
-		is.True(!judged || served > d.least)
+		is.True(!checkBounds || served > d.least)
 	}
 }
 
@@ -55,11 +55,11 @@
 // of the short jobs came so late that they were of no use, and their work was wasted.
 func TestManyEntriesDoNotPromiseTheSameRoom(t *testing.T) {
 	is := is.New(t)
-	served, sum := day(large, grown, 1.15)
+	served, sum := runDays(large, grownMix, 1.15)
 	t.Logf("load 1.15: served %.3f, %+v", served, sum)
-	is.True(!judged || served > 0.8) // 0.77 before
+	is.True(!checkBounds || served > 0.8) // 0.77 before
 	for _, c := range sum {
-		is.True(!judged || float64(c.tooLate) < 0.01*float64(c.asked)) // 0.10 of the short ones before
+		is.True(!checkBounds || float64(c.tooLate) < 0.01*float64(c.asked)) // 0.10 of the short ones before
 	}
 }
 
@@ -68,9 +68,9 @@
 // is that they come first.
 func TestUrgentJobsFindRoomUnderOverload(t *testing.T) {
 	is := is.New(t)
-	_, sum := day(large, grown, 1.15)
+	_, sum := runDays(large, grownMix, 1.15)
 	t.Logf("load 1.15: %+v", sum)
-	is.True(!judged || sum["short"].share() > 0.77) // 0.66 before
-	is.True(!judged || sum["usual"].share() > 0.75)
-	is.True(!judged || sum["long"].share() > 0.75)
+	is.True(!checkBounds || sum["short"].inTimeShare() > 0.77) // 0.66 before
+	is.True(!checkBounds || sum["usual"].inTimeShare() > 0.75)
+	is.True(!checkBounds || sum["long"].inTimeShare() > 0.75)
 }
--- a/coordination/load/mix_test.go
+++ b/coordination/load/mix_test.go
@@ -12,63 +12,63 @@
 
 // class is a kind of request: all its jobs have one step.
 type class struct {
-	queue    string
-	perS     float64
-	width    float64
-	work     time.Duration
-	cpu      int64
-	worth    float64
-	priority int
+	queue         string
+	jobsPerSecond float64
+	width         float64
+	work          time.Duration
+	cpu           int64
+	value         float64
+	priority      int
 }
 
 // grown is the mix of the users' grown sites, of 922 jobs a second on 59 agents,
 // for one agent.
-var grown = []class{
-	{queue: "short", perS: 223. / 55, width: 8, work: 60 * time.Millisecond, cpu: 1300, worth: 0.00485},
-	{queue: "long", perS: 50.7 / 55, width: 4, work: 900 * time.Millisecond, cpu: 1300, worth: 0.0267, priority: 2},
-	{queue: "usual", perS: 648. / 55, width: 2, work: 200 * time.Millisecond, cpu: 1300, worth: 0.00167, priority: 1},
+var grownMix = []class{
+	{queue: "short", jobsPerSecond: 223. / 55, width: 8, work: 60 * time.Millisecond, cpu: 1300, value: 0.00485},
+	{queue: "long", jobsPerSecond: 50.7 / 55, width: 4, work: 900 * time.Millisecond, cpu: 1300, value: 0.0267, priority: 2},
+	{queue: "usual", jobsPerSecond: 648. / 55, width: 2, work: 200 * time.Millisecond, cpu: 1300, value: 0.00167, priority: 1},
 }
 
 // shifted is the mix of a site whose work has changed to longer jobs, of 717 jobs a second on
 // 51 agents.
-var shifted = []class{
-	{queue: "short", perS: 166. / 51, width: 8, work: 60 * time.Millisecond, cpu: 1200, worth: 0.00485},
-	{queue: "long", perS: 65.8 / 51, width: 4, work: 900 * time.Millisecond, cpu: 1200, worth: 0.0267, priority: 2},
-	{queue: "usual", perS: 485. / 51, width: 2, work: 200 * time.Millisecond, cpu: 1200, worth: 0.00167, priority: 1},
+var shiftedMix = []class{
+	{queue: "short", jobsPerSecond: 166. / 51, width: 8, work: 60 * time.Millisecond, cpu: 1200, value: 0.00485},
+	{queue: "long", jobsPerSecond: 65.8 / 51, width: 4, work: 900 * time.Millisecond, cpu: 1200, value: 0.0267, priority: 2},
+	{queue: "usual", jobsPerSecond: 485. / 51, width: 2, work: 200 * time.Millisecond, cpu: 1200, value: 0.00167, priority: 1},
 }
 
 // wide is the mix of the users' sites with larger tasks, of which ten fill a worker, of
 // 140 jobs a second on 11 agents.
-var wide = []class{
-	{queue: "short", perS: 34.4 / 11, width: 8, work: 60 * time.Millisecond, cpu: 1550, worth: 0.0291},
-	{queue: "long", perS: 6.25 / 11, width: 4, work: 900 * time.Millisecond, cpu: 1550, worth: 0.16, priority: 2},
-	{queue: "usual", perS: 100. / 11, width: 2, work: 200 * time.Millisecond, cpu: 1550, worth: 0.01, priority: 1},
+var wideMix = []class{
+	{queue: "short", jobsPerSecond: 34.4 / 11, width: 8, work: 60 * time.Millisecond, cpu: 1550, value: 0.0291},
+	{queue: "long", jobsPerSecond: 6.25 / 11, width: 4, work: 900 * time.Millisecond, cpu: 1550, value: 0.16, priority: 2},
+	{queue: "usual", jobsPerSecond: 100. / 11, width: 2, work: 200 * time.Millisecond, cpu: 1550, value: 0.01, priority: 1},
 }
 
 // halls is the mix of the users' large site, of 1,385 jobs a second on 160 agents.
-var halls = []class{
-	{queue: "short", perS: 334. / 160, width: 8, work: 60 * time.Millisecond, cpu: 2500, worth: 0.00323},
-	{queue: "long", perS: 75.8 / 160, width: 4, work: 900 * time.Millisecond, cpu: 2500, worth: 0.0178, priority: 2},
-	{queue: "usual", perS: 972. / 160, width: 2, work: 200 * time.Millisecond, cpu: 2500, worth: 0.00111, priority: 1},
+var largeSiteMix = []class{
+	{queue: "short", jobsPerSecond: 334. / 160, width: 8, work: 60 * time.Millisecond, cpu: 2500, value: 0.00323},
+	{queue: "long", jobsPerSecond: 75.8 / 160, width: 4, work: 900 * time.Millisecond, cpu: 2500, value: 0.0178, priority: 2},
+	{queue: "usual", jobsPerSecond: 972. / 160, width: 2, work: 200 * time.Millisecond, cpu: 2500, value: 0.00111, priority: 1},
 }
 
 // coresPerAgent is what these jobs keep at work on each agent.
 func coresPerAgent(mix []class) float64 {
 	var cores float64
 	for _, c := range mix {
-		cores += c.perS * c.width * c.work.Seconds() * float64(c.cpu) / 1000
+		cores += c.jobsPerSecond * c.width * c.work.Seconds() * float64(c.cpu) / 1000
 	}
 	return cores
 }
 
 // request is a job as its client sees it.
 type request struct {
-	id    job.ID
-	class *class
-	step  job.Step
-	at    time.Duration
-	works []time.Duration
-	aim   time.Duration
+	id          job.ID
+	class       *class
+	step        job.Step
+	submittedAt time.Duration
+	taskWork    []time.Duration
+	objective   time.Duration
 	// entry has taken the last try; ended is set once the client has an answer, or
 	// waits no more.
 	entry *entry
@@ -80,32 +80,32 @@
 	crashes      bool
 	starts, lost int
 	// third is the number of starts when the third server was lost.
-	third int
+	startsAtThirdLoss int
 }
 
 // tally counts what became of a class's jobs.
 type tally struct{ asked, inAim, late, refused, tooLate int }
 
 const (
-	spreadOfWork  = 0.4
-	spreadOfWidth = 0.4
-	spreadInJob   = 0.15
-	spreadOfGuess = 0.4
-	slackFactor   = 1.6
-	target        = 60 * time.Millisecond
-	timesOverAim  = 3
-	shortestLimit = 1500 * time.Millisecond
-	largestFactor = 4
+	workSpread      = 0.4
+	widthSpread     = 0.4
+	workSpreadInJob = 0.15
+	estimateSpread  = 0.4
+	slackFactor     = 1.6
+	targetLatency   = 60 * time.Millisecond
+	lateFactor      = 3
+	minTimeout      = 1500 * time.Millisecond
+	maxOverMean     = 4
 )
 
 // around draws a figure about a mean, log-normal and bounded.
-func (w *world) around(mean, spread float64) float64 {
+func (w *world) logNormal(mean, spread float64) float64 {
 	x := mean * math.Exp(spread*w.rand.NormFloat64()-spread*spread/2)
-	return min(x, largestFactor*mean)
+	return min(x, maxOverMean*mean)
 }
 
 func (w *world) work(run job.RunID) time.Duration {
-	return w.jobs[run.Task.Job].works[run.Task.Index]
+	return w.jobs[run.Task.Job].taskWork[run.Task.Index]
 }
 
 // arrive draws a job and sends it to an entry.
@@ -113,15 +113,15 @@
 
 // draw returns a job.
 func (w *world) draw(c *class) *request {
-	mean := w.around(float64(c.work), spreadOfWork)
-	n := max(1, int(math.Round(w.around(c.width, spreadOfWidth))))
-	r := &request{class: c, at: w.now, patient: w.patient, id: job.ID(fmt.Sprintf("%016x", len(w.jobs)+1))}
+	mean := w.logNormal(float64(c.work), workSpread)
+	n := max(1, int(math.Round(w.logNormal(c.width, widthSpread))))
+	r := &request{class: c, submittedAt: w.now, patient: w.patient, id: job.ID(fmt.Sprintf("%016x", len(w.jobs)+1))}
 	for range n {
-		r.works = append(r.works, time.Duration(w.around(mean, spreadInJob)))
+		r.taskWork = append(r.taskWork, time.Duration(w.logNormal(mean, workSpreadInJob)))
 	}
-	r.aim = time.Duration(slackFactor*float64(slices.Max(r.works))) + target
+	r.objective = time.Duration(slackFactor*float64(slices.Max(r.taskWork))) + targetLatency
 	r.step = job.Step{
-		Count: n, Demand: job.Demand{CPUMillis: c.cpu, MemoryMB: 64}, Estimate: time.Duration(w.around(mean, spreadOfGuess)),
+		Count: n, Demand: job.Demand{CPUMillis: c.cpu, MemoryMB: 64}, Estimate: time.Duration(w.logNormal(mean, estimateSpread)),
 	}
 	return r
 }
@@ -130,11 +130,11 @@
 func (w *world) submit(r *request) {
 	w.jobs[r.id] = r
 	w.send(r)
-	w.after(r.limit(), func() {
+	w.after(r.timeout(), func() {
 		if r.ended {
 			return
 		}
-		w.note(r, owner.Response{Outcome: owner.Unknown})
+		w.record(r, owner.Response{Outcome: owner.Unknown})
 		if e := r.entry; e != nil && !e.down {
 			e.apply(e.Abandon(w.now, r.id))
 		}
@@ -142,11 +142,11 @@
 }
 
 // limit is how long the client waits in all; it names what is left with each try.
-func (r *request) limit() time.Duration {
+func (r *request) timeout() time.Duration {
 	if r.patient {
-		return patientLimit
+		return patientTimeout
 	}
-	return shortestLimit + timesOverAim*r.aim
+	return minTimeout + lateFactor*r.objective
 }
 
 // busyShare is what the first entry gets beyond its part where the traffic is uneven: about
@@ -155,58 +155,58 @@
 
 // send makes a try at a random entry. One that is down takes no connection.
 func (w *world) send(r *request) {
-	left := r.at + r.limit() - w.now
+	left := r.submittedAt + r.timeout() - w.now
 	if r.ended || left <= 0 {
 		return
 	}
 	e := w.entries[w.rand.IntN(len(w.entries))]
-	if w.uneven && w.rand.Float64() < busyShare {
+	if w.unevenTraffic && w.rand.Float64() < busyShare {
 		e = w.entries[0]
 	}
 	if e.down {
-		w.after(resendAfter, func() { w.send(r) })
+		w.after(resendDelay, func() { w.send(r) })
 		return
 	}
 	c := r.class
 	spec := job.Spec{BestEffort: true, ClientTimeout: left, Steps: []job.Step{r.step}}
-	policy := job.Policy{Queue: c.queue, Service: service, Priority: c.priority, MaxAttempts: 3, Slack: slackFactor, Target: target, RequestTimeout: shortestLimit}
+	policy := job.Policy{Queue: c.queue, Service: service, Priority: c.priority, MaxAttempts: 3, Slack: slackFactor, Target: targetLatency, RequestTimeout: minTimeout}
 	r.entry = e
-	life := e.life
+	life := e.incarnation
 	e.apply(e.Submit(w.now, r.id, spec, policy, func(v owner.Response) {
-		if !r.ended && e.life == life {
-			w.note(r, v)
+		if !r.ended && e.incarnation == life {
+			w.record(r, v)
 		}
 	}))
 }
 
-func (w *world) note(r *request, v owner.Response) {
+func (w *world) record(r *request, v owner.Response) {
 	if r.crashes {
 		r.ended = true
 		return // it can't be done
 	}
 	if v.Outcome == owner.OK && v.State == job.Failed {
-		w.givenUp++
+		w.wronglyGivenUp++
 	}
-	t := w.tally[r.class.queue]
+	t := w.tallies[r.class.queue]
 	if t == nil {
 		t = &tally{}
-		w.tally[r.class.queue] = t
+		w.tallies[r.class.queue] = t
 	}
-	took := w.now - r.at
+	took := w.now - r.submittedAt
 	r.ended = true
 	if r.entry == w.entries[0] {
-		w.busy.asked++
-		if v.Outcome == owner.OK && v.State == job.Completed && took <= r.aim {
-			w.busy.inAim++
+		w.busyEntry.asked++
+		if v.Outcome == owner.OK && v.State == job.Completed && took <= r.objective {
+			w.busyEntry.inAim++
 		}
 	}
 	t.asked++
 	switch {
 	case v.Outcome == owner.Refused:
 		t.refused++
-	case v.Outcome != owner.OK || v.State != job.Completed || took > timesOverAim*r.aim:
+	case v.Outcome != owner.OK || v.State != job.Completed || took > lateFactor*r.objective:
 		t.tooLate++
-	case took > r.aim:
+	case took > r.objective:
 		t.late++
 	default:
 		t.inAim++
@@ -214,7 +214,7 @@
 }
 
 // play sends a mix at a share of what the agents carry, for a time.
-func (w *world) play(mix []class, share float64, length time.Duration) {
+func (w *world) run(mix []class, share float64, length time.Duration) {
 	var room float64
 	for i := range w.agents {
 		room += 16
@@ -232,7 +232,7 @@
 				return
 			}
 			w.arrive(c)
-			w.after(time.Duration(w.rand.ExpFloat64()/(c.perS*scale*w.times)*float64(time.Second)), next)
+			w.after(time.Duration(w.rand.ExpFloat64()/(c.jobsPerSecond*scale*w.burstFactor)*float64(time.Second)), next)
 		}
 		w.after(0, next)
 	}
@@ -240,15 +240,15 @@
 }
 
 // served is the share of the worth that was served, late answers at a fifth.
-func (w *world) served(mix []class) float64 {
+func (w *world) servedValue(mix []class) float64 {
 	var got, owed float64
 	for _, c := range mix {
-		t := w.tally[c.queue]
+		t := w.tallies[c.queue]
 		if t == nil {
 			continue
 		}
-		got += c.worth * (float64(t.inAim) + 0.2*float64(t.late))
-		owed += c.worth * float64(t.asked)
+		got += c.value * (float64(t.inAim) + 0.2*float64(t.late))
+		owed += c.value * float64(t.asked)
 	}
 	return got / owed
 }
@@ -258,4 +258,4 @@
 }
 
 // share is the part that ended in time.
-func (t tally) share() float64 { return float64(t.inAim) / float64(t.asked) }
+func (t tally) inTimeShare() float64 { return float64(t.inAim) / float64(t.asked) }
--- a/coordination/load/race_off_test.go
+++ b/coordination/load/race_off_test.go
@@ -5,6 +5,6 @@
 // seeds is the number of days behind each figure, judged whether the figures are
 // held against their bounds.
 const (
-	seeds  = 3
-	judged = true
+	seeds       = 3
+	checkBounds = true
 )
--- a/coordination/load/race_on_test.go
+++ b/coordination/load/race_on_test.go
@@ -6,5 +6,5 @@
 // alone: a single day says too little for the bounds, which the run without it checks.
 const (
 	seeds  = 1
-	judged = false
+	checkBounds = false
 )
--- a/coordination/load/size_test.go
+++ b/coordination/load/size_test.go
@@ -23,24 +23,24 @@
 
 // fleet is a size of the large site's kind.
 func fleet(entries, agents, links int) setup {
-	return setup{entries: entries, agents: agents, spreadCost: spreadCost, params: owner.DefaultParams(), links: links}
+	return setup{entries: entries, agents: agents, pausePerPlacer: pausePerPlacer, params: owner.DefaultParams(), links: links}
 }
 
 // played is what became of the jobs of some days of one kind.
-type played struct {
+type dayResult struct {
 	served, inTime, late, refused, tooLate float64
 }
 
-func (s setup) day(mix []class, share float64, days int) played {
+func (s setup) runDays(mix []class, share float64, days int) dayResult {
 	var sum tally
-	var out played
+	var out dayResult
 	for s.seed = range uint64(days) {
 		w := newWorld(s)
 		w.runUntil(w.now + time.Second)
-		w.play(mix, share, 3*time.Second)
+		w.run(mix, share, 3*time.Second)
 		w.runUntil(w.now + 4*time.Second)
-		out.served += w.served(mix) / float64(days)
-		for _, t := range w.tally {
+		out.served += w.servedValue(mix) / float64(days)
+		for _, t := range w.tallies {
 			sum = sum.plus(t)
 		}
 	}
@@ -50,7 +50,7 @@
 	return out
 }
 
-func (p played) String() string {
+func (p dayResult) String() string {
 	return fmt.Sprintf("%.3f | %.3f | %.3f | %.3f | %.3f", p.served, p.inTime, p.late, p.refused, p.tooLate)
 }
 
@@ -71,26 +71,26 @@
 		{.9, fleet(216, 992, 32)},
 	}
 	drawn := fleet(35, 160, 32)
-	drawn.drawn = true
+	drawn.fallbackBuckets = true
 	rows = append(rows, struct {
 		share float64
 		setup
 	}{.9, drawn})
-	out := make([]played, len(rows))
-	gate := make(chan struct{}, 3)
+	out := make([]dayResult, len(rows))
+	semaphore := make(chan struct{}, 3)
 	var wg sync.WaitGroup
 	for i, r := range rows {
 		wg.Go(func() {
-			gate <- struct{}{}
-			defer func() { <-gate }()
-			out[i] = r.day(halls, r.share, 2)
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			out[i] = r.runDays(largeSiteMix, r.share, 2)
 		})
 	}
 	wg.Wait()
 	fmt.Println("| load | entries x agents | links of each entry | served | in time | late | refused | too late |")
 	for i, r := range rows {
 		how := ""
-		if r.drawn {
+		if r.fallbackBuckets {
 			how = ", drawn"
 		}
 		fmt.Printf("| %.2f | %d x %d | %d%s | %v |\n", r.share, r.entries, r.agents, r.linksOrAll(), how, out[i])
@@ -102,13 +102,13 @@
 // late. With links to a subset the share in time is that of a few entries, at any size.
 func TestShareInTimeDoesNotFallWithSize(t *testing.T) {
 	is := is.New(t)
-	few := fleet(5, 51, linksPerEntry).day(halls, .9, sizeDays)
+	few := fleet(5, 51, linksPerEntry).runDays(largeSiteMix, .9, sizeSeeds)
 	for _, s := range []setup{fleet(13, 70, linksPerEntry), fleet(35, 160, linksPerEntry)} {
-		got := s.day(halls, .9, sizeDays)
+		got := s.runDays(largeSiteMix, .9, sizeSeeds)
 		t.Logf("%d x %d: %v; 5 entries: %v", s.entries, s.agents, got, few)
-		is.True(!judged || got.inTime > few.inTime-0.03)
+		is.True(!checkBounds || got.inTime > few.inTime-0.03)
 	}
 }
 
 // sizeDays is how many days a size is judged by.
-const sizeDays = 2
+const sizeSeeds = 2
--- a/coordination/load/world_test.go
+++ b/coordination/load/world_test.go
@@ -18,35 +18,35 @@
 
 const (
 	// hop is a frame's way, with what both processes need to handle it.
-	hop = 3 * time.Millisecond
+	frameDelay = 3 * time.Millisecond
 	// call is a call of an agent to the backend server beside it.
-	call = 2 * time.Millisecond
+	callDelay = 2 * time.Millisecond
 	// beat is the pace of frames on quiet links, tick that of the machines.
-	beat, tick = 150 * time.Millisecond, 50 * time.Millisecond
+	heartbeatInterval, tickInterval = 150 * time.Millisecond, 50 * time.Millisecond
 	// holdEvery renews leases when nothing ends.
-	holdEvery = 60 * time.Millisecond
-	shards    = 16
-	domains   = 5
-	service   = "desk"
+	holdInterval = 60 * time.Millisecond
+	shards       = 16
+	domains      = 5
+	service      = "desk"
 )
 
-var bounds = owner.Bounds{
+var ownerBounds = owner.Bounds{
 	LostLinkTimeout: 2600 * time.Millisecond, TakeoverTimeout: 8600 * time.Millisecond, Retention: 4 * time.Minute,
 	MaxWriteDelay: 700 * time.Millisecond,
 }
 
 // event is something that happens at a time.
 type event struct {
-	at time.Duration
-	n  int
-	do func()
+	at  time.Duration
+	seq int
+	do  func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].n < e[j].n
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -62,24 +62,24 @@
 	now     time.Duration
 	rand    *rand.Rand
 	queue   events
-	count   int
+	lastSeq int
 	entries []*entry
 	agents  []*agent
 	jobs    map[job.ID]*request
-	tally   map[string]*tally
+	tallies map[string]*tally
 	// spreadCost is the agents' pause between news of their load, for each caller.
-	spreadCost time.Duration
-	params     owner.Params
+	pausePerPlacer time.Duration
+	params         owner.Params
 	// times is how many times as many jobs come as usual.
-	times float64
+	burstFactor float64
 	// subsets has the agents that each entry links.
 	subsets [][]*agent
 	// uneven sends a fifth of the jobs to the first entry, whatever their number.
-	uneven bool
+	unevenTraffic bool
 	// busy counts what became of the first entry's jobs.
-	busy tally
+	busyEntry tally
 	// uncounted has agents not tell how many orders they had from all.
-	uncounted bool
+	hideTotalOrders bool
 	// drains are those in force.
 	drains drains.State
 	// patient clients wait for as long as a recorded job does.
@@ -87,26 +87,26 @@
 	// lost counts the backend servers that tasks have crashed, givenUp the jobs that were
 	// shown as failed though they could be done, and most is the most starts of a task
 	// after three servers were lost under it.
-	lost, givenUp, most int
+	serversLost, wronglyGivenUp, maxStartsAfterThird int
 }
 
 // setup is the size of a world.
 type setup struct {
 	entries, agents int
-	spreadCost      time.Duration
+	pausePerPlacer  time.Duration
 	seed            uint64
 	params          owner.Params
 	// links is how many agents each entry links; zero: all.
 	links int
 	// drawn has each entry hold the number that its name leads to, in place of the
 	// numbers that are dealt to it.
-	drawn bool
+	fallbackBuckets bool
 }
 
 func newWorld(s setup) *world {
 	w := &world{
-		now: time.Hour, rand: rand.New(rand.NewPCG(s.seed, 1)), spreadCost: s.spreadCost, params: s.params, times: 1,
-		jobs: make(map[job.ID]*request), tally: make(map[string]*tally),
+		now: time.Hour, rand: rand.New(rand.NewPCG(s.seed, 1)), pausePerPlacer: s.pausePerPlacer, params: s.params, burstFactor: 1,
+		jobs: make(map[job.ID]*request), tallies: make(map[string]*tally),
 	}
 	for i := range s.agents {
 		w.agents = append(w.agents, newAgent(w, i))
@@ -129,7 +129,7 @@
 	out := make([][]*agent, s.entries)
 	for i := range out {
 		share := subset.FallbackShare(fmt.Sprintf("entry-%d", i))
-		if !s.drawn {
+		if !s.fallbackBuckets {
 			share.Buckets = nil
 			for n := i; n < subset.NumBuckets; n += s.entries {
 				share.Buckets = append(share.Buckets, n)
@@ -150,8 +150,8 @@
 }
 
 func (w *world) after(d time.Duration, do func()) {
-	w.count++
-	heap.Push(&w.queue, event{at: w.now + d, n: w.count, do: do})
+	w.lastSeq++
+	heap.Push(&w.queue, event{at: w.now + d, seq: w.lastSeq, do: do})
 }
 
 // every repeats something, beginning at a random phase.
@@ -179,15 +179,15 @@
 	w      *world
 	number int
 	// life counts the entry's starts; down is set while it is not running.
-	life  int
-	down  bool
-	fleet *owner.Fleet
+	incarnation int
+	down        bool
+	fleet       *owner.Fleet
 }
 
 func newEntry(w *world, number int) *entry {
 	e := &entry{w: w, number: number}
-	e.begin()
-	w.every(tick, func() {
+	e.start()
+	w.every(tickInterval, func() {
 		if !e.down {
 			e.apply(e.Tick(w.now))
 		}
@@ -196,24 +196,24 @@
 }
 
 // name is that of the entry's life.
-func (e *entry) name() string { return fmt.Sprintf("entry-%d/%d", e.number, e.life) }
+func (e *entry) name() string { return fmt.Sprintf("entry-%d/%d", e.number, e.incarnation) }
 
 // begin starts a life of the entry: it links all agents that are there.
-func (e *entry) begin() {
-	e.life++
+func (e *entry) start() {
+	e.incarnation++
 	e.down = false
 	e.fleet = owner.NewFleet(1, e.w.params)
-	e.Shard = owner.NewPrivate(e.w.now, shards+1+e.number+livesOfEntries*e.life, bounds, e.fleet)
+	e.Shard = owner.NewPrivate(e.w.now, shards+1+e.number+shardsPerIncarnation*e.incarnation, ownerBounds, e.fleet)
 	for _, a := range e.w.subsets[e.number] {
-		e.w.after(hop, func() { e.link(a, e.life) })
+		e.w.after(frameDelay, func() { e.link(a, e.incarnation) })
 	}
 }
 
 // livesOfEntries spaces the numbers of their shards.
-const livesOfEntries = 1000
+const shardsPerIncarnation = 1000
 
-func (e *entry) link(a *agent, life int) {
-	if e.life != life {
+func (e *entry) link(a *agent, incarnation int) {
+	if e.incarnation != incarnation {
 		return
 	}
 	e.fleet.Linked(a.name)
@@ -223,24 +223,24 @@
 	answer := a.Claim(e.w.now, claim)
 	a.apply(answer.Effects)
 	e.apply(e.Claimed(e.w.now, a.name, answer))
-	a.callers = slices.DeleteFunc(a.callers, func(c *caller) bool { return c.entry == e })
-	c := &caller{entry: e, life: e.life}
-	a.callers = append(a.callers, c)
-	a.tell(c, nil)
+	a.links = slices.DeleteFunc(a.links, func(c *entryLink) bool { return c.entry == e })
+	c := &entryLink{entry: e, incarnation: e.incarnation}
+	a.links = append(a.links, c)
+	a.sendLoad(c, nil)
 }
 
 func (e *entry) apply(fx owner.Effects) {
 	for _, o := range fx.Orders {
 		a, what := e.w.agent(o.Node), o.Value
-		e.w.after(hop, func() { a.order(e, what) })
+		e.w.after(frameDelay, func() { a.order(e, what) })
 	}
 	for _, s := range fx.Stops {
 		a, run := e.w.agent(s.Node), s.Value
-		e.w.after(hop, func() { a.apply(a.Stop(e.w.now, e.ID, e.Epoch, run)) })
+		e.w.after(frameDelay, func() { a.apply(a.Stop(e.w.now, e.ID, e.Epoch, run)) })
 	}
 	for _, s := range fx.Settled {
 		a, what := e.w.agent(s.Node), s.Value
-		e.w.after(beat/2, func() { a.Settled(what.Run, what.Void) })
+		e.w.after(heartbeatInterval/2, func() { a.Settled(what.Run, what.Void) })
 	}
 	for _, r := range fx.Replies {
 		r.To(r.Response)
@@ -248,17 +248,17 @@
 }
 
 // caller is what an agent knows of an entry.
-type caller struct {
-	entry   *entry
-	life    int
-	seen    int64
-	told    level
-	toldAt  time.Duration
-	orderAt time.Duration
+type entryLink struct {
+	entry       *entry
+	incarnation int
+	ordersSeen  int64
+	lastSent    loadLevel
+	lastSentAt  time.Duration
+	lastOrderAt time.Duration
 }
 
 // level is the part of a load whose change is worth a frame.
-type level struct {
+type loadLevel struct {
 	free    job.Demand
 	waiting int
 	accepts bool
@@ -267,51 +267,51 @@
 // agent is a worker's books and its backend server.
 type agent struct {
 	*worker.Worker
-	w       *world
-	name    string
-	callers []*caller
-	speed   float64
-	running map[job.RunID]bool
-	ends    []worker.ListedEnd
-	ended   int64
-	holding bool
+	w              *world
+	name           string
+	links          []*entryLink
+	durationFactor float64
+	running        map[job.RunID]bool
+	ends           []worker.ListedEnd
+	lastEndSeq     int64
+	holding        bool
 	// lives counts the instances of the backend server, life the agent's own starts.
-	lives, life int
+	serverInstance, incarnation int
 	// down is set while the agent is not running, and dark while its backend server is
 	// not. What is started while hangs is set stands still, and deaf delays its news.
-	down, dark, hangs, deaf bool
+	down, serverDown, tasksHang, slowUpdates bool
 	// orders counts those of all entries.
 	orders   int64
 	capacity job.Demand
 	// cold is what the backend server says of its being so, and reports numbers its words.
-	cold    time.Duration
-	reports int64
+	coldRemaining time.Duration
+	lastReportSeq int64
 	// domain is the failure domain, where that matters.
 	domain string
 }
 
 func newAgent(w *world, number int) *agent {
-	a := &agent{w: w, name: fmt.Sprintf("agent-%02d", number), speed: 1, running: make(map[job.RunID]bool)}
+	a := &agent{w: w, name: fmt.Sprintf("agent-%02d", number), durationFactor: 1, running: make(map[job.RunID]bool)}
 	a.capacity = job.Demand{CPUMillis: 16000, MemoryMB: 65536}
 	if number%3 == 2 {
 		a.capacity.CPUMillis = 24000
 	}
-	a.begin()
-	w.every(holdEvery, a.hold)
-	w.every(tick, func() {
+	a.start()
+	w.every(holdInterval, a.hold)
+	w.every(tickInterval, func() {
 		if !a.down {
 			a.apply(a.Tick(w.now))
-			a.spread()
+			a.sendChangedLoads()
 		}
 	})
-	w.every(beat, func() {
-		for _, c := range a.callers {
-			if a.down || c.entry.down || c.life != c.entry.life {
+	w.every(heartbeatInterval, func() {
+		for _, c := range a.links {
+			if a.down || c.entry.down || c.incarnation != c.entry.incarnation {
 				continue
 			}
 			a.Heard(w.now, c.entry.name())
-			if w.now-c.toldAt >= beat {
-				a.tell(c, nil)
+			if w.now-c.lastSentAt >= heartbeatInterval {
+				a.sendLoad(c, nil)
 			}
 		}
 	})
@@ -319,14 +319,14 @@
 }
 
 // begin starts a life of the agent, which knows whose orders the earlier one took.
-func (a *agent) begin() {
-	a.life++
+func (a *agent) start() {
+	a.incarnation++
 	a.down = false
 	var former []string
-	for _, c := range a.callers {
-		former = append(former, fmt.Sprintf("entry-%d/%d", c.entry.number, c.life))
+	for _, c := range a.links {
+		former = append(former, fmt.Sprintf("entry-%d/%d", c.entry.number, c.incarnation))
 	}
-	a.callers = nil
+	a.links = nil
 	a.holding = false
 	a.Worker = worker.New(worker.Bounds{Lease: time.Second, OwnerTimeout: 1300 * time.Millisecond, ReconnectTimeout: 700 * time.Millisecond, AdoptionTimeout: 400 * time.Millisecond, Shards: shards})
 	a.SetFormerOwners(former)
@@ -336,9 +336,9 @@
 
 // report has the backend server say what it is.
 func (a *agent) report() {
-	instance := fmt.Sprintf("i-%s-%d", a.name, a.lives)
-	a.reports++
-	a.apply(a.Report(a.w.now, worker.Server{Instance: instance, Service: service, Capacity: a.capacity, ColdRemaining: a.cold, Seq: a.reports}, a.w.now.Milliseconds()))
+	instance := fmt.Sprintf("i-%s-%d", a.name, a.serverInstance)
+	a.lastReportSeq++
+	a.apply(a.Report(a.w.now, worker.Server{Instance: instance, Service: service, Capacity: a.capacity, ColdRemaining: a.coldRemaining, Seq: a.lastReportSeq}, a.w.now.Milliseconds()))
 }
 
 func (w *world) agent(name string) *agent {
@@ -355,19 +355,19 @@
 	}
 	a.apply(a.Order(a.w.now, o))
 	a.orders++
-	for _, c := range a.callers {
+	for _, c := range a.links {
 		if c.entry == e {
-			c.seen++
-			c.orderAt = a.w.now
+			c.ordersSeen++
+			c.lastOrderAt = a.w.now
 		}
 	}
 }
 
 // later does something after a call, if the agent still lives then.
 func (a *agent) later(do func()) {
-	life := a.life
-	a.w.after(call, func() {
-		if a.life == life && !a.down {
+	incarnation := a.incarnation
+	a.w.after(callDelay, func() {
+		if a.incarnation == incarnation && !a.down {
 			do()
 		}
 	})
@@ -375,33 +375,33 @@
 
 func (a *agent) apply(fx worker.Effects) {
 	for _, s := range fx.Starts {
-		lives := a.lives
+		instance := a.serverInstance
 		a.later(func() {
-			if a.dark || a.lives != lives {
+			if a.serverDown || a.serverInstance != instance {
 				a.apply(a.StartAnswered(a.w.now, s.Instance, s.Run, worker.StartUnhealthy, "no_connection"))
 				return
 			}
 			a.running[s.Run] = true
 			a.apply(a.StartAnswered(a.w.now, s.Instance, s.Run, worker.StartOK, ""))
 			if a.w.crashes(s.Run) {
-				a.w.after(crashDelay, func() { a.crashedBy(s.Run, lives) })
+				a.w.after(crashDelay, func() { a.crashedBy(s.Run, instance) })
 				return
 			}
-			if !a.hangs {
-				a.w.after(time.Duration(float64(a.w.work(s.Run))*a.speed), func() { a.end(s.Run, job.Done) })
+			if !a.tasksHang {
+				a.w.after(time.Duration(float64(a.w.work(s.Run))*a.durationFactor), func() { a.end(s.Run, job.Done) })
 			}
 		})
 	}
 	for _, s := range fx.Stops {
 		a.later(func() {
-			a.apply(a.StopAnswered(a.w.now, s.Instance, s.Run, !a.dark))
+			a.apply(a.StopAnswered(a.w.now, s.Instance, s.Run, !a.serverDown))
 			a.end(s.Run, job.Stopped)
 		})
 	}
 	for _, ev := range fx.Events {
-		for _, c := range a.callers {
+		for _, c := range a.links {
 			if c.entry.ID == ev.Shard && ev.State.Status != worker.Running {
-				a.tell(c, &ev)
+				a.sendLoad(c, &ev)
 			}
 		}
 	}
@@ -412,8 +412,8 @@
 		return
 	}
 	delete(a.running, run)
-	a.ended++
-	a.ends = append(a.ends, worker.ListedEnd{Seq: a.ended, Run: run, Kind: kind})
+	a.lastEndSeq++
+	a.ends = append(a.ends, worker.ListedEnd{Seq: a.lastEndSeq, Run: run, Kind: kind})
 	a.hold()
 }
 
@@ -427,14 +427,14 @@
 		return
 	}
 	a.holding = true
-	lives := a.lives
+	instance := a.serverInstance
 	a.later(func() {
 		a.holding = false
 		switch {
-		case a.dark:
+		case a.serverDown:
 			a.apply(a.HoldFailed(a.w.now, c, worker.NotSent))
 			return
-		case a.lives != lives:
+		case a.serverInstance != instance:
 			return
 		}
 		h := worker.HoldResult{ClockMS: a.w.now.Milliseconds()}
@@ -453,22 +453,22 @@
 }
 
 // tell sends an entry a frame with the load, and the end of a run.
-func (a *agent) tell(c *caller, ev *worker.Event) {
+func (a *agent) sendLoad(c *entryLink, ev *worker.Event) {
 	l := a.Load(a.w.now)
-	c.told, c.toldAt = levelOf(&l), a.w.now
+	c.lastSent, c.lastSentAt = loadLevelOf(&l), a.w.now
 	p := wire.LoadToWire(&l)
-	p.OrdersSeen = c.seen
+	p.OrdersSeen = c.ordersSeen
 	p.Domain = a.domain
 	p.Placers = int32(len(a.placers()))
-	if !a.w.uncounted {
+	if !a.w.hideTotalOrders {
 		p.Orders = a.orders
 	}
-	delay := hop
-	if a.deaf {
-		delay = deafDelay
+	delay := frameDelay
+	if a.slowUpdates {
+		delay = slowUpdateDelay
 	}
 	a.w.after(delay, func() {
-		if c.entry.down || c.entry.life != c.life {
+		if c.entry.down || c.entry.incarnation != c.incarnation {
 			return
 		}
 		c.entry.fleet.Update(a.w.now, a.name, wire.LoadFromWire(p))
@@ -482,27 +482,27 @@
 }
 
 // deafDelay is that of news on a link whose other end is slow.
-const deafDelay = 60 * time.Millisecond
+const slowUpdateDelay = 60 * time.Millisecond
 
-func levelOf(l *worker.Load) level {
-	return level{free: l.Free, waiting: l.Waiting, accepts: l.Accepts}
+func loadLevelOf(l *worker.Load) loadLevel {
+	return loadLevel{free: l.Free, waiting: l.Waiting, accepts: l.Accepts}
 }
 
-func (a *agent) spread() {
+func (a *agent) sendChangedLoads() {
 	l := a.Load(a.w.now)
 	placers := a.placers()
 	for _, c := range placers {
-		if c.told != levelOf(&l) && a.w.now-c.toldAt >= time.Duration(len(placers))*a.w.spreadCost {
-			a.tell(c, nil)
+		if c.lastSent != loadLevelOf(&l) && a.w.now-c.lastSentAt >= time.Duration(len(placers))*a.w.pausePerPlacer {
+			a.sendLoad(c, nil)
 		}
 	}
 }
 
 // placers returns the entries that place work here.
-func (a *agent) placers() []*caller {
-	var out []*caller
-	for _, c := range a.callers {
-		if c.orderAt > 0 && a.w.now-c.orderAt < time.Second {
+func (a *agent) placers() []*entryLink {
+	var out []*entryLink
+	for _, c := range a.links {
+		if c.lastOrderAt > 0 && a.w.now-c.lastOrderAt < time.Second {
 			out = append(out, c)
 		}
 	}
