--- a/soak/clients_test.go
+++ b/soak/clients_test.go
@@ -14,24 +14,24 @@
 const (
 	// effortPrefix begins the IDs of best-effort jobs. For these the platform
 	// rules out two runs of a task at a time, and no more.
-	effortPrefix = "e"
+	bestEffortPrefix = "e"
 	// resendAfter is the platform's pause before a job without an answer is sent
 	// again, tries how often that is done here.
 	resendAfter = 1300 * time.Millisecond
-	tries       = 4
+	maxTries    = 4
 	// clientPatience bounds one call: above the time limit that it names.
-	clientPatience = 4 * time.Second
-	timeLimit      = "2500"
+	callTimeout = 4 * time.Second
+	timeLimit   = "2500"
 )
 
 // request is a job as its client sees it.
 type request struct {
-	id     string
-	body   string
-	effort bool
-	steps  []int
+	id         string
+	body       string
+	bestEffort bool
+	steps      []int
 	// crashes is set where the job's tasks crash their backend servers.
-	crashes bool
+	crashesServers bool
 
 	// accepted is set by the first 2xx, refused while every answer so far was a
 	// refusal, cancelled once a cancellation was sent.
@@ -49,7 +49,7 @@
 }
 
 func newClients(w *world) *clients {
-	return &clients{w: w, http: &http.Client{Timeout: clientPatience, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+	return &clients{w: w, http: &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 }
 
 // run is one client: it sends one job after the other.
@@ -66,18 +66,18 @@
 		c.jobs = append(c.jobs, r)
 		c.mu.Unlock()
 		c.submit(random, r)
-		if r.accepted && !r.effort {
+		if r.accepted && !r.bestEffort {
 			c.follow(random, r)
 		}
 	}
 }
 
 func newRequest(random *rand.Rand, client, n int) *request {
-	r := &request{id: fmt.Sprintf("%016x", client<<32|n+1), effort: random.IntN(2) == 0, refused: true}
-	if r.effort {
-		r.id = effortPrefix + r.id[1:]
+	r := &request{id: fmt.Sprintf("%016x", client<<32|n+1), bestEffort: random.IntN(2) == 0, refused: true}
+	if r.bestEffort {
+		r.id = bestEffortPrefix + r.id[1:]
 	}
-	r.crashes = !r.effort && random.IntN(crasherOneIn) == 0
+	r.crashesServers = !r.bestEffort && random.IntN(jobsPerCrasher) == 0
 	cpu := 200 + random.IntN(600)
 	var steps []string
 	for i := range 1 + random.IntN(2) {
@@ -89,22 +89,22 @@
 		}
 		steps = append(steps, fmt.Sprintf(`{"count":%d,"cpu_millis":%d,"mem_mb":64,"estimate_ms":100%s}`, count, cpu, depends))
 	}
-	work := fmt.Sprintf(`{\"work_ms\":%d,\"cpu\":%d,\"crash\":%v}`, 5+random.IntN(250), cpu, r.crashes)
-	r.body = fmt.Sprintf(`{"spec":"%s","best_effort":%v,"steps":[%s]}`, work, r.effort, strings.Join(steps, ","))
+	work := fmt.Sprintf(`{\"work_ms\":%d,\"cpu\":%d,\"crash\":%v}`, 5+random.IntN(250), cpu, r.crashesServers)
+	r.body = fmt.Sprintf(`{"spec":"%s","best_effort":%v,"steps":[%s]}`, work, r.bestEffort, strings.Join(steps, ","))
 	return r
 }
 
 // crasherOneIn is how many recorded jobs come for one that crashes its servers.
-const crasherOneIn = 40
+const jobsPerCrasher = 40
 
 // submit sends a job, and again after no answer, to any entry.
 func (c *clients) submit(random *rand.Rand, r *request) {
-	for range tries {
+	for range maxTries {
 		status, state := c.call(random, http.MethodPost, r.id, r.body)
 		switch status {
 		case http.StatusOK:
 			r.accepted, r.refused = true, false
-			c.see(r, state)
+			c.checkState(r, state)
 			return
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 			return
@@ -112,7 +112,7 @@
 			r.refused = false
 			time.Sleep(resendAfter)
 		default:
-			c.w.fault("%s: a submission was answered %d", r.id, status)
+			c.w.addViolation("%s: a submission was answered %d", r.id, status)
 			return
 		}
 	}
@@ -127,21 +127,21 @@
 			c.call(random, http.MethodDelete, r.id, "")
 			continue
 		}
-		c.look(random, r)
+		c.query(random, r)
 	}
 }
 
 // look asks for a job's state. It reports whether that is final.
-func (c *clients) look(random *rand.Rand, r *request) bool {
+func (c *clients) query(random *rand.Rand, r *request) bool {
 	status, state := c.call(random, http.MethodGet, r.id, "")
 	switch status {
 	case http.StatusOK:
-		c.see(r, state)
+		c.checkState(r, state)
 	case http.StatusGone:
-		c.w.fault("%s: accepted, and then said to be unknown", r.id)
+		c.w.addViolation("%s: accepted, and then said to be unknown", r.id)
 		r.shown = "unknown"
 	case http.StatusNotFound:
-		c.w.fault("%s: its queue was said to be unknown", r.id)
+		c.w.addViolation("%s: its queue was said to be unknown", r.id)
 	}
 	return final(r.shown)
 }
@@ -151,34 +151,34 @@
 }
 
 // see checks a state against what was shown before.
-func (c *clients) see(r *request, state string) {
+func (c *clients) checkState(r *request, state string) {
 	if final(r.shown) && state != r.shown {
-		c.w.fault("%s: shown as %s, and then as %s", r.id, r.shown, state)
+		c.w.addViolation("%s: shown as %s, and then as %s", r.id, r.shown, state)
 	}
 	c.w.mu.Lock()
 	failing := c.w.failing
 	c.w.mu.Unlock()
-	if state == "failed" && !failing && c.w.ledger.MaxLost(r.id) < leastLost {
-		c.w.fault("%s: failed, and no backend server fails its runs, or was lost with them", r.id)
+	if state == "failed" && !failing && c.w.ledger.MaxLost(r.id) < minLostServers {
+		c.w.addViolation("%s: failed, and no backend server fails its runs, or was lost with them", r.id)
 	}
-	if state == "completed" && r.crashes {
-		c.w.fault("%s: completed, though its tasks crash their servers", r.id)
+	if state == "completed" && r.crashesServers {
+		c.w.addViolation("%s: completed, though its tasks crash their servers", r.id)
 	}
 	if state == "cancelled" && !r.cancelled {
-		c.w.fault("%s: cancelled by nobody", r.id)
+		c.w.addViolation("%s: cancelled by nobody", r.id)
 	}
 	r.shown = state
 }
 
 // leastLost is how many servers have to be lost under a task before it may be given up.
-const leastLost = 2
+const minLostServers = 2
 
 // call sends a request to some entry. The status is zero for no answer.
 func (c *clients) call(random *rand.Rand, method, id, body string) (int, string) {
-	front := c.w.fronts[random.IntN(len(c.w.fronts))]
+	front := c.w.clientAddrs[random.IntN(len(c.w.clientAddrs))]
 	req, err := http.NewRequest(method, "http://"+front+"/q/"+id, strings.NewReader(body))
 	if err != nil {
-		c.w.fault("%s: %v", id, err)
+		c.w.addViolation("%s: %v", id, err)
 		return 0, ""
 	}
 	req.Host = "desk.example"
@@ -196,7 +196,7 @@
 		State string `json:"state"`
 	}
 	if err := json.Unmarshal(b, &out); err != nil {
-		c.w.fault("%s: %s was answered %d with %.100q", id, method, resp.StatusCode, b)
+		c.w.addViolation("%s: %s was answered %d with %.100q", id, method, resp.StatusCode, b)
 	}
 	return resp.StatusCode, out.State
 }
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -9,15 +9,15 @@
 )
 
 // trouble is one fault: it begins, lasts and ends. Several run at a time.
-type trouble struct {
-	name string
-	do   func(w *world, random *rand.Rand, last func(least, most int))
+type faultKind struct {
+	name   string
+	inject func(w *world, random *rand.Rand, last func(least, most int))
 }
 
 func pick[T any](random *rand.Rand, from []T) T { return from[random.IntN(len(from))] }
 
 // troubles is all that may happen. last waits for some milliseconds within bounds.
-var troubles = []trouble{
+var faultKinds = []faultKind{
 	{"kill", func(w *world, random *rand.Rand, last func(int, int)) {
 		p := pick(random, w.processes())
 		p.kill()
@@ -56,16 +56,16 @@
 	}},
 	{"cut", func(w *world, random *rand.Rand, last func(int, int)) {
 		r := pick(random, w.relays)
-		r.set(pick(random, []way{silent, forthLost, backLost}), 0)
+		r.set(pick(random, []relayMode{dropBoth, dropToTarget, dropFromTarget}), 0)
 		last(200, 4000)
-		r.set(pass, 0)
+		r.set(forward, 0)
 		r.reset() // the bytes that were dropped would be missing in the streams
 	}},
 	{"delay", func(w *world, random *rand.Rand, last func(int, int)) {
 		r := pick(random, w.relays)
-		r.set(pass, time.Duration(1+random.IntN(60))*time.Millisecond)
+		r.set(forward, time.Duration(1+random.IntN(60))*time.Millisecond)
 		last(200, 3000)
-		r.set(pass, 0)
+		r.set(forward, 0)
 	}},
 	{"reset", func(w *world, random *rand.Rand, last func(int, int)) {
 		for _, r := range w.relays {
@@ -114,10 +114,10 @@
 	{"server shrinks", func(w *world, random *rand.Rand, last func(int, int)) {
 		a := pick(random, w.agents)
 		for range 1 + random.IntN(3) {
-			a.serverDo(func(e *standin.BackendServer) { e.Resize(int64(random.IntN(5)) * serverCPU / 4) })
+			a.withServer(func(e *standin.BackendServer) { e.Resize(int64(random.IntN(5)) * serverCPU / 4) })
 			last(100, 3000)
 		}
-		a.serverDo(func(e *standin.BackendServer) { e.Resize(serverCPU) })
+		a.withServer(func(e *standin.BackendServer) { e.Resize(serverCPU) })
 	}},
 	{"drain", func(w *world, random *rand.Rand, last func(int, int)) {
 		domain := pick(random, domains)
@@ -145,30 +145,30 @@
 	}},
 	{"server loses answers", func(w *world, random *rand.Rand, last func(int, int)) {
 		a := pick(random, w.agents)
-		a.serverDo(func(e *standin.BackendServer) { e.DropStartResponses(true) })
+		a.withServer(func(e *standin.BackendServer) { e.DropStartResponses(true) })
 		last(200, 2000)
-		a.serverDo(func(e *standin.BackendServer) { e.DropStartResponses(false) })
+		a.withServer(func(e *standin.BackendServer) { e.DropStartResponses(false) })
 	}},
 	{"server starts late", func(w *world, random *rand.Rand, last func(int, int)) {
 		a := pick(random, w.agents)
 		late := time.Duration(500+random.IntN(4000)) * time.Millisecond
-		a.serverDo(func(e *standin.BackendServer) { e.DelayStarts(late) })
+		a.withServer(func(e *standin.BackendServer) { e.DelayStarts(late) })
 		last(200, 2000)
-		a.serverDo(func(e *standin.BackendServer) { e.DelayStarts(0) })
+		a.withServer(func(e *standin.BackendServer) { e.DelayStarts(0) })
 	}},
 	{"server fails all", func(w *world, random *rand.Rand, last func(int, int)) {
 		w.mu.Lock()
 		w.failing = true
 		w.mu.Unlock()
 		a := pick(random, w.agents)
-		a.serverDo(func(e *standin.BackendServer) { e.FailAll(true) })
+		a.withServer(func(e *standin.BackendServer) { e.FailAll(true) })
 		last(200, 2000)
-		a.serverDo(func(e *standin.BackendServer) { e.FailAll(false) })
+		a.withServer(func(e *standin.BackendServer) { e.FailAll(false) })
 	}},
 }
 
 // trouble brings one fault after the other about until it is stopped.
-func (w *world) trouble(series uint64, stop <-chan struct{}) {
+func (w *world) injectFaults(series uint64, stop <-chan struct{}) {
 	random := w.random(series)
 	last := func(least, most int) { time.Sleep(time.Duration(least+random.IntN(most-least)) * time.Millisecond) }
 	for {
@@ -177,9 +177,9 @@
 			return
 		default:
 		}
-		t := pick(random, troubles)
+		t := pick(random, faultKinds)
 		began := time.Now()
-		t.do(w, random, last)
+		t.inject(w, random, last)
 		w.t.Logf("%s %d: %s for %v", began.Format("15:04:05.000"), series, t.name, time.Since(began).Round(time.Millisecond))
 		last(50, 800)
 	}
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -16,11 +16,11 @@
 )
 
 // program is the built daemon.
-var program string
+var daemonPath string
 
-func build(dir string) error {
-	program = filepath.Join(dir, "shallotstepd")
-	out, err := exec.Command("go", "build", "-o", program, "../cmd/shallotstepd").CombinedOutput()
+func buildDaemon(dir string) error {
+	daemonPath = filepath.Join(dir, "shallotstepd")
+	out, err := exec.Command("go", "build", "-o", daemonPath, "../cmd/shallotstepd").CombinedOutput()
 	if err != nil {
 		return fmt.Errorf("%w: %s", err, out)
 	}
@@ -39,11 +39,11 @@
 
 	cmd *exec.Cmd
 	// ending is set once this soak has told the present life to end.
-	ending bool
-	ended  chan struct{}
-	frozen bool
+	endRequested bool
+	ended        chan struct{}
+	frozen       bool
 	// faults tells of lives that ended by themselves.
-	faults []string
+	unexpectedEnds []string
 }
 
 func newProcess(t *testing.T, dir, name, settings string) *process {
@@ -66,7 +66,7 @@
 	if p.cmd != nil {
 		return
 	}
-	cmd := exec.Command(program, "run", "-settings", p.settings)
+	cmd := exec.Command(daemonPath, "run", "-settings", p.settings)
 	cmd.Stdout, cmd.Stderr = p.log, p.log
 	// Nothing is left behind by a test that is ended from outside.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -74,7 +74,7 @@
 		p.t.Error(err)
 		return
 	}
-	p.cmd, p.ending, p.frozen, p.ended = cmd, false, false, make(chan struct{})
+	p.cmd, p.endRequested, p.frozen, p.ended = cmd, false, false, make(chan struct{})
 	go p.reap(cmd, p.ended)
 }
 
@@ -82,8 +82,8 @@
 	err := cmd.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.ending {
-		p.faults = append(p.faults, fmt.Sprintf("%s ended by itself: %v", p.name, err))
+	if !p.endRequested {
+		p.unexpectedEnds = append(p.unexpectedEnds, fmt.Sprintf("%s ended by itself: %v", p.name, err))
 	}
 	p.cmd = nil
 	close(ended)
@@ -98,7 +98,7 @@
 	}
 	switch sig {
 	case syscall.SIGKILL, syscall.SIGTERM:
-		p.ending = true
+		p.endRequested = true
 	case syscall.SIGSTOP:
 		p.frozen = true
 	case syscall.SIGCONT:
@@ -132,8 +132,8 @@
 	p.wait(time.Minute)
 }
 
-func (p *process) endedByItself() []string {
+func (p *process) unexpectedEndings() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.faults
+	return p.unexpectedEnds
 }
--- a/soak/relay_test.go
+++ b/soak/relay_test.go
@@ -8,17 +8,17 @@
 )
 
 // way is what a relay does with what it is given.
-type way int
+type relayMode int
 
 const (
 	// pass hands it on.
-	pass way = iota
+	forward relayMode = iota
 	// silent drops it both ways; connections stay open.
-	silent
+	dropBoth
 	// forthLost drops what goes to the target only.
-	forthLost
+	dropToTarget
 	// backLost drops what comes from the target only.
-	backLost
+	dropFromTarget
 )
 
 // relay stands between a process and what it connects to.
@@ -29,7 +29,7 @@
 	// All fields below are guarded by mu.
 
 	target string
-	way    way
+	mode   relayMode
 	delay  time.Duration
 	conns  map[net.Conn]bool
 	closed bool
@@ -71,8 +71,8 @@
 		}
 		return
 	}
-	go r.copy(out, in, forthLost)
-	r.copy(in, out, backLost)
+	go r.copy(out, in, dropToTarget)
+	r.copy(in, out, dropFromTarget)
 }
 
 func (r *relay) add(conns ...net.Conn) bool {
@@ -85,7 +85,7 @@
 }
 
 // copy hands on in one direction; lost is the way that drops just that.
-func (r *relay) copy(to, from net.Conn, lost way) {
+func (r *relay) copy(to, from net.Conn, dropMode relayMode) {
 	defer r.drop(to, from)
 	buf := make([]byte, 32<<10)
 	for {
@@ -94,12 +94,12 @@
 			return
 		}
 		r.mu.Lock()
-		way, delay := r.way, r.delay
+		mode, delay := r.mode, r.delay
 		r.mu.Unlock()
 		if delay > 0 {
 			time.Sleep(delay)
 		}
-		if way == silent || way == lost {
+		if mode == dropBoth || mode == dropMode {
 			continue
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
@@ -133,14 +133,14 @@
 	clear(r.conns)
 }
 
-func (r *relay) set(w way, delay time.Duration) {
+func (r *relay) set(w relayMode, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.way, r.delay = w, delay
+	r.mode, r.delay = w, delay
 }
 
 // lead has new connections go elsewhere, and ends the others.
-func (r *relay) lead(target string) {
+func (r *relay) redirect(target string) {
 	r.mu.Lock()
 	r.target = target
 	r.mu.Unlock()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -28,17 +28,17 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	os.Exit(run(m))
+	os.Exit(runTests(m))
 }
 
-func run(m *testing.M) int {
+func runTests(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "soak-program-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	if err := build(dir); err != nil {
+	if err := buildDaemon(dir); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
@@ -65,8 +65,8 @@
 // troubleSeries is how many troubles there are at a time, clientCount how many
 // clients send jobs.
 const (
-	troubleSeries = 3
-	clientCount   = 8
+	concurrentFaults = 3
+	numClients       = 8
 )
 
 func soak(t *testing.T, seed uint64) {
@@ -74,17 +74,17 @@
 	c := newClients(w)
 	w.awaitService(c)
 	stop := make(chan struct{})
-	var sending, troubling sync.WaitGroup
-	for i := range clientCount {
+	var sending, injecting sync.WaitGroup
+	for i := range numClients {
 		sending.Go(func() { c.run(i, stop) })
 	}
-	for i := range troubleSeries {
-		troubling.Go(func() { w.trouble(uint64(i), stop) })
+	for i := range concurrentFaults {
+		injecting.Go(func() { w.injectFaults(uint64(i), stop) })
 	}
 	time.Sleep(*length)
 	close(stop)
-	troubling.Wait()
-	w.heal()
+	injecting.Wait()
+	w.clearFaults()
 	for _, p := range w.processes() {
 		p.signal(syscall.SIGCONT)
 		p.start()
@@ -102,18 +102,18 @@
 	for _, effort := range []bool{true, false} {
 		if !w.eventually(func() bool {
 			r := newRequest(random, 0x7f000000+random.IntN(1<<20), 0)
-			r.effort = effort
+			r.bestEffort = effort
 			r.body = fmt.Sprintf(`{"spec":"5","best_effort":%v,"steps":[{"count":1,"cpu_millis":100,"mem_mb":16,"estimate_ms":50}]}`, effort)
 			status, _ := c.call(random, http.MethodPost, r.id, r.body)
 			return status == http.StatusOK
 		}) {
-			w.t.Fatalf("no job of kind best_effort=%v was taken in %v", effort, patience)
+			w.t.Fatalf("no job of kind best_effort=%v was taken in %v", effort, eventuallyTimeout)
 		}
 	}
 }
 
 func (w *world) eventually(ok func() bool) bool {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(eventuallyTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if ok() {
 			return true
 		}
@@ -126,16 +126,16 @@
 	random := c.w.random(99)
 	var open []*request
 	for _, r := range c.jobs {
-		if r.accepted && !r.effort {
+		if r.accepted && !r.bestEffort {
 			open = append(open, r)
 		}
 	}
 	c.w.eventually(func() bool {
-		open = slices.DeleteFunc(open, func(r *request) bool { return c.look(random, r) })
+		open = slices.DeleteFunc(open, func(r *request) bool { return c.query(random, r) })
 		return len(open) == 0
 	})
 	for _, r := range open {
-		c.w.fault("%s: accepted, and shown as %q for %v after all was well again", r.id, r.shown, patience)
+		c.w.addViolation("%s: accepted, and shown as %q for %v after all was well again", r.id, r.shown, eventuallyTimeout)
 	}
 }
 
@@ -150,7 +150,7 @@
 		case r.refused:
 			refused++
 			if len(started) > 0 {
-				c.w.fault("%s: refused each time, and %d of its tasks have started", r.id, len(started))
+				c.w.addViolation("%s: refused each time, and %d of its tasks have started", r.id, len(started))
 			}
 		default:
 			open++
@@ -161,7 +161,7 @@
 	}
 	c.w.t.Logf("seed %d: %d jobs accepted, %d refused, %d left open", c.w.seed, accepted, refused, open)
 	if accepted == 0 {
-		c.w.fault("no job was accepted")
+		c.w.addViolation("no job was accepted")
 	}
 }
 
@@ -169,7 +169,7 @@
 	for step, count := range r.steps {
 		for task := range count {
 			if started[fmt.Sprintf("%s.0.%d.%d", r.id, step, task)] == 0 {
-				c.w.fault("%s: completed, and task %d of step %d was never started", r.id, task, step)
+				c.w.addViolation("%s: completed, and task %d of step %d was never started", r.id, task, step)
 			}
 		}
 	}
@@ -178,21 +178,21 @@
 // check reports all that must not have happened.
 func (w *world) check() {
 	if !w.eventually(func() bool { return len(w.ledger.Running()) == 0 }) {
-		w.fault("%v still run, and nobody waits for them", w.ledger.Running())
+		w.addViolation("%v still run, and nobody waits for them", w.ledger.Running())
 	}
 	for _, f := range w.ledger.Faults() {
 		// A best-effort job may run again from the start after it got no answer.
 		of := f[strings.LastIndex(f, " ")+1:]
-		if strings.HasPrefix(of, effortPrefix) && !strings.HasPrefix(f, "two runs at a time") && !strings.HasPrefix(f, standin.OverCapacity) && !strings.HasPrefix(f, standin.InDrainedDomain) {
+		if strings.HasPrefix(of, bestEffortPrefix) && !strings.HasPrefix(f, "two runs at a time") && !strings.HasPrefix(f, standin.OverCapacity) && !strings.HasPrefix(f, standin.InDrainedDomain) {
 			continue
 		}
-		w.fault("%s", f)
+		w.addViolation("%s", f)
 	}
 	for _, p := range w.processes() {
-		w.faults = append(w.faults, p.endedByItself()...)
+		w.violations = append(w.violations, p.unexpectedEndings()...)
 	}
-	slices.Sort(w.faults)
-	for _, f := range slices.Compact(w.faults) {
+	slices.Sort(w.violations)
+	for _, f := range slices.Compact(w.violations) {
 		id, _, _ := strings.Cut(f[strings.LastIndex(f, " ")+1:], ".")
 		if head, _, ok := strings.Cut(f, ":"); ok {
 			id = head
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -19,7 +19,7 @@
 const partitions = 4
 
 // routes is a configuration. The second route comes and goes.
-const routes = `{"version":%d,"routes":[{"name":"quotes","host":"desk.example","path_prefix":"/q/","timeout_ms":%d,
+const configFormat = `{"version":%d,"routes":[{"name":"quotes","host":"desk.example","path_prefix":"/q/","timeout_ms":%d,
 "target_latency_ms":60,"priority":0,"service":"desk","max_attempts":3,"slack_factor":1.6}%s],"limits":{"max_body_bytes":262144}}`
 
 // world is one system with its surroundings.
@@ -31,15 +31,15 @@
 	ledger *standin.Ledger
 	agents []*agent
 	// entries are the entries' processes, fronts where their clients connect.
-	entries []*process
-	fronts  []string
-	relays  []*relay
+	entries     []*process
+	clientAddrs []string
+	relays      []*relay
 
 	mu sync.Mutex
 	// All fields below are guarded by mu.
 
-	faults  []string
-	version int
+	violations []string
+	version    int
 	// drains counts the present drains of each failure domain.
 	drains map[string]int
 	// failing is set once backend servers were told to fail all runs.
@@ -49,29 +49,29 @@
 // agent is an agent's process with the backend server beside it.
 type agent struct {
 	*process
-	w       *world
-	domain  string
-	reports string
+	w           *world
+	domain      string
+	reportsAddr string
 	// server is the way to the backend server, links that to the agent.
-	server, links *relay
+	serverRelay, linkRelay *relay
 
 	mu sync.Mutex
 	// All fields below are guarded by mu.
 
-	executor *standin.BackendServer
-	life     int
+	server          *standin.BackendServer
+	serverInstances int
 }
 
 // fault notes what must not have happened.
-func (w *world) fault(format string, args ...any) {
+func (w *world) addViolation(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
 func newWorld(t *testing.T, seed uint64, entries, agents int) *world {
 	t.Helper()
-	w := &world{t: t, seed: seed, dir: keepDir(t, seed), store: standin.NewStore(), ledger: standin.NewLedger(), drains: make(map[string]int)}
+	w := &world{t: t, seed: seed, dir: logDir(t, seed), store: standin.NewStore(), ledger: standin.NewLedger(), drains: make(map[string]int)}
 	t.Cleanup(w.end)
 	w.configure()
 	for i := range agents {
@@ -87,7 +87,7 @@
 }
 
 // keepDir is a directory whose logs stay if the test fails.
-func keepDir(t *testing.T, seed uint64) string {
+func logDir(t *testing.T, seed uint64) string {
 	dir, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", seed))
 	if err != nil {
 		t.Fatal(err)
@@ -114,11 +114,11 @@
 
 // hosts numbers the loopback addresses in use. A process's ports stay free while it
 // is away, since no outgoing connection is given a port of its address.
-var hosts atomic.Int32
+var lastHost atomic.Int32
 
 func address(t *testing.T) string {
 	t.Helper()
-	host := hosts.Add(1)
+	host := lastHost.Add(1)
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+os.Getpid()%250, 1+host/250, 1+host%250))
 	if err != nil {
 		t.Fatal(err)
@@ -155,12 +155,12 @@
 }
 
 func (w *world) newAgent(name, domain string) *agent {
-	a := &agent{w: w, domain: domain, reports: address(w.t)}
+	a := &agent{w: w, domain: domain, reportsAddr: address(w.t)}
 	links := address(w.t)
-	a.links = w.relayTo(links)
-	a.server = w.relayTo("127.0.0.1:1") // until there is one
-	listen := fmt.Sprintf(`"reports": %q, "links": %q, "links_announced": %q`, a.reports, links, a.links.addr())
-	a.process = newProcess(w.t, w.dir, name, w.settings("agent", name, domain, listen, a.server.addr()))
+	a.linkRelay = w.relayTo(links)
+	a.serverRelay = w.relayTo("127.0.0.1:1") // until there is one
+	listen := fmt.Sprintf(`"reports": %q, "links": %q, "links_announced": %q`, a.reportsAddr, links, a.linkRelay.addr())
+	a.process = newProcess(w.t, w.dir, name, w.settings("agent", name, domain, listen, a.serverRelay.addr()))
 	a.newServer()
 	return a
 }
@@ -170,7 +170,7 @@
 	serverCPU = 4000
 	// roomGrace is how long an agent may go by an old capacity: it may be frozen for 4 s,
 	// and a start be carried out 4.5 s late.
-	roomGrace = 9 * time.Second
+	capacityGrace = 9 * time.Second
 )
 
 // domains are the failure domains. Agents stand in them in turn.
@@ -178,37 +178,37 @@
 
 // drainHeard is how long after a drain an agent may still start something: it may be frozen
 // for 4 s, a start be carried out 4.5 s late, and who has lost the store looks after 2 s.
-const drainHeard = 13 * time.Second
+const drainGrace = 13 * time.Second
 
 // drain drains a failure domain, or ends one of its drains.
-func (w *world) drain(domain string, yes bool) {
+func (w *world) drain(domain string, drained bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	was := w.drains[domain] > 0
-	if yes {
+	wasDrained := w.drains[domain] > 0
+	if drained {
 		w.drains[domain]++
 	} else {
 		w.drains[domain]--
 	}
-	is := w.drains[domain] > 0
-	if was == is {
+	isDrained := w.drains[domain] > 0
+	if wasDrained == isDrained {
 		return
 	}
 	value := []byte(`{}`)
-	if !is {
+	if !isDrained {
 		value = nil
 	}
 	w.store.Put("keyed.op", "evacuate/"+domain, value)
 	for _, a := range w.agents {
 		if a.domain == domain {
-			a.serverDo(func(e *standin.BackendServer) { drainServer(e, is) })
+			a.withServer(func(e *standin.BackendServer) { drainServer(e, isDrained) })
 		}
 	}
 }
 
-func drainServer(e *standin.BackendServer, yes bool) {
-	if yes {
-		e.Drain(drainHeard)
+func drainServer(e *standin.BackendServer, drained bool) {
+	if drained {
+		e.Drain(drainGrace)
 		return
 	}
 	e.Undrain()
@@ -218,34 +218,34 @@
 func (a *agent) newServer() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.executor != nil {
-		a.executor.Close()
+	if a.server != nil {
+		a.server.Close()
 	}
-	a.life++
+	a.serverInstances++
 	e, err := standin.NewBackendServer(standin.BackendServerConfig{
-		Instance: fmt.Sprintf("i-%s-%d", a.name, a.life), Service: "desk", Labels: []string{"a"}, CPUMillis: serverCPU, MemoryMB: 4096, CapacityGrace: roomGrace,
+		Instance: fmt.Sprintf("i-%s-%d", a.name, a.serverInstances), Service: "desk", Labels: []string{"a"}, CPUMillis: serverCPU, MemoryMB: 4096, CapacityGrace: capacityGrace,
 	}, a.w.ledger)
 	if err != nil {
 		a.w.t.Error(err)
 		return
 	}
-	a.executor = e
-	a.server.lead(e.Addr())
-	e.ReportTo(a.reports)
+	a.server = e
+	a.serverRelay.redirect(e.Addr())
+	e.ReportTo(a.reportsAddr)
 }
 
 // serverDo does something to the present backend server.
-func (a *agent) serverDo(f func(*standin.BackendServer)) {
+func (a *agent) withServer(f func(*standin.BackendServer)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	f(a.executor)
+	f(a.server)
 }
 
 func (w *world) newEntry(name string) {
 	front := address(w.t)
 	listen := fmt.Sprintf(`"clients": %q, "ready": %q`, front, address(w.t))
 	w.entries = append(w.entries, newProcess(w.t, w.dir, name, w.settings("entry", name, domains[0], listen, "")))
-	w.fronts = append(w.fronts, front)
+	w.clientAddrs = append(w.clientAddrs, front)
 }
 
 // configure writes the next version of the configuration.
@@ -257,7 +257,7 @@
 	if w.version%2 == 0 {
 		other = `,{"name":"other","host":"other.example","path_prefix":"/o/","timeout_ms":1500,"service":"desk","max_attempts":1,"slack_factor":2}`
 	}
-	w.store.Put("keyed.op", "config", fmt.Appendf(nil, routes, w.version, 1500+w.version, other))
+	w.store.Put("keyed.op", "config", fmt.Appendf(nil, configFormat, w.version, 1500+w.version, other))
 }
 
 func (w *world) end() {
@@ -265,7 +265,7 @@
 		p.kill()
 	}
 	for _, a := range w.agents {
-		a.serverDo((*standin.BackendServer).Close)
+		a.withServer((*standin.BackendServer).Close)
 	}
 	for _, r := range w.relays {
 		r.close()
@@ -274,14 +274,14 @@
 }
 
 // heal ends all faults and brings every process back.
-func (w *world) heal() {
+func (w *world) clearFaults() {
 	w.store.SetFault("", standin.NoFault)
 	for _, r := range w.relays {
-		r.set(pass, 0)
+		r.set(forward, 0)
 		r.reset() // what a silent connection swallowed never comes
 	}
 	for _, a := range w.agents {
-		a.serverDo(func(e *standin.BackendServer) {
+		a.withServer(func(e *standin.BackendServer) {
 			e.DropStartResponses(false)
 			e.DelayStarts(0)
 			e.FailAll(false)
@@ -318,4 +318,4 @@
 func (w *world) random(part uint64) *rand.Rand { return rand.New(rand.NewPCG(w.seed, part)) }
 
 // patience bounds waits at the end; nothing is asserted of how long they take.
-const patience = 60 * time.Second
+const eventuallyTimeout = 60 * time.Second
