--- a/coordination/model/agent_test.go
+++ b/coordination/model/agent_test.go
@@ -49,25 +49,25 @@
 	a.drains = drainView{tracker: &drains.Tracker{}}
 	a.startedAt = a.w.now
 	a.server.report()
-	life := a.incarnation
-	a.loop(life, 50*time.Millisecond, func() {
+	incarnation := a.incarnation
+	a.loop(incarnation, 50*time.Millisecond, func() {
 		a.apply(a.worker.Tick(a.w.now))
 		a.readDrainsIfStale()
 		a.sendLoad()
 	})
-	a.hold(life)
+	a.hold(incarnation)
 }
 
 // loop does something again and again for as long as a life lasts.
-func (a *agentModel) loop(life int64, every time.Duration, do func()) {
+func (a *agentModel) loop(incarnation int64, every time.Duration, do func()) {
 	a.run(func() {
-		if a.incarnation == life {
+		if a.incarnation == incarnation {
 			do()
 		}
 	})
 	a.w.after(every, func() {
-		if a.incarnation == life && !a.down {
-			a.loop(life, every, do)
+		if a.incarnation == incarnation && !a.down {
+			a.loop(incarnation, every, do)
 		}
 	})
 }
@@ -76,8 +76,8 @@
 	if a.down {
 		return
 	}
-	if wait := a.frozenUntil - a.w.now; wait > 0 {
-		a.w.after(wait, func() { a.run(do) })
+	if frozenFor := a.frozenUntil - a.w.now; frozenFor > 0 {
+		a.w.after(frozenFor, func() { a.run(do) })
 		return
 	}
 	do()
@@ -100,7 +100,7 @@
 }
 
 // restart ends the process and starts another beside the same executor.
-func (a *agentModel) restart(away time.Duration) {
+func (a *agentModel) restart(downtime time.Duration) {
 	if a.down {
 		return
 	}
@@ -108,9 +108,9 @@
 	a.w.trace("- %s goes down", a.name)
 	a.incarnation++
 	for _, o := range a.w.owners {
-		o.cutLink(a, away+a.w.randUpTo(300*time.Millisecond))
+		o.cutLink(a, downtime+a.w.randUpTo(300*time.Millisecond))
 	}
-	a.w.after(away, a.start)
+	a.w.after(downtime, a.start)
 }
 
 func (a *agentModel) claim(l *link, c worker.Claim) {
@@ -158,10 +158,10 @@
 }
 
 func (a *agentModel) apply(fx worker.Effects) {
-	life := a.incarnation
+	incarnation := a.incarnation
 	for _, s := range fx.Starts {
 		a.checkDrains()
-		a.call(func() bool { return a.server.runStart(life, s) }, func(answered, ok bool) {
+		a.call(func() bool { return a.server.runStart(incarnation, s) }, func(answered, ok bool) {
 			outcome := worker.StartRefused
 			a.w.trace("%s start %v answered %v ok %v", a.name, s.Run, answered, ok)
 			switch {
@@ -174,7 +174,7 @@
 		})
 	}
 	for _, s := range fx.Stops {
-		a.call(func() bool { return a.server.runStop(life, s) }, func(answered, ok bool) {
+		a.call(func() bool { return a.server.runStop(incarnation, s) }, func(answered, ok bool) {
 			a.apply(a.worker.StopAnswered(a.w.now, s.Instance, s.Run, answered && ok))
 		})
 	}
@@ -194,53 +194,53 @@
 
 // call carries something out at the executor, perhaps late, and tells the agent
 // what came of it unless the answer is lost.
-func (a *agentModel) call(do func() bool, then func(answered, ok bool)) {
+func (a *agentModel) call(do func() bool, onResponse func(answered, ok bool)) {
 	const timeout = 80 * time.Millisecond
-	w, life, took := a.w, a.incarnation, a.w.randUpTo(3*time.Millisecond)
+	w, incarnation, delay := a.w, a.incarnation, a.w.randUpTo(3*time.Millisecond)
 	lost, late := false, false
 	if w.now < a.server.unreliableUntil {
 		lost, late = w.chance(0.3), w.chance(0.3)
 	}
 	if late {
-		took += w.randUpTo(1500 * time.Millisecond)
+		delay += w.randUpTo(1500 * time.Millisecond)
 	}
-	back := func(answered, ok bool) {
+	respond := func(answered, ok bool) {
 		a.run(func() {
-			if a.incarnation == life {
-				then(answered, ok)
+			if a.incarnation == incarnation {
+				onResponse(answered, ok)
 			}
 		})
 	}
 	if late || lost {
-		w.after(timeout, func() { back(false, false) })
+		w.after(timeout, func() { respond(false, false) })
 	}
-	w.after(took, func() {
+	w.after(delay, func() {
 		ok := do()
 		if !late && !lost {
-			back(true, ok)
+			respond(true, ok)
 		}
 	})
 }
 
 // hold keeps the lease and reads the lists.
-func (a *agentModel) hold(life int64) {
+func (a *agentModel) hold(incarnation int64) {
 	a.run(func() {
-		if a.incarnation != life {
+		if a.incarnation != incarnation {
 			return
 		}
 		c, ok := a.worker.Hold(a.w.now)
 		if !ok {
-			a.w.after(20*time.Millisecond, func() { a.hold(life) })
+			a.w.after(20*time.Millisecond, func() { a.hold(incarnation) })
 			return
 		}
 		var h worker.HoldResult
-		a.call(func() bool { return a.server.hold(life, c, &h) }, func(answered, ok bool) {
+		a.call(func() bool { return a.server.hold(incarnation, c, &h) }, func(answered, ok bool) {
 			if answered && ok {
 				a.apply(a.worker.HoldAnswered(a.w.now, c, h))
 			} else {
 				a.apply(a.worker.HoldFailed(a.w.now, c, a.server.holdFailure(c, answered)))
 			}
-			a.w.after(40*time.Millisecond, func() { a.hold(life) })
+			a.w.after(40*time.Millisecond, func() { a.hold(incarnation) })
 		})
 	})
 }
--- a/coordination/model/client_test.go
+++ b/coordination/model/client_test.go
@@ -151,13 +151,13 @@
 func (c *client) checkStates() {
 	if o := c.w.newestOwner(); !o.dead && c.w.now >= o.frozenUntil && !o.shard.Closed() {
 		for _, id := range c.ids {
-			c.compare(id, o.shard.Lookup(id))
+			c.checkState(id, o.shard.Lookup(id))
 		}
 	}
 	c.w.after(200*time.Millisecond, c.checkStates)
 }
 
-func (c *client) compare(id job.ID, v owner.Response) {
+func (c *client) checkState(id job.ID, v owner.Response) {
 	j := c.jobs[id]
 	switch {
 	case v.Outcome == owner.Absent && j.accepted:
--- a/coordination/model/drain_test.go
+++ b/coordination/model/drain_test.go
@@ -97,10 +97,10 @@
 	if age < staleDrainsAge || a.w.mutant == drainsNotRead {
 		return
 	}
-	life := a.incarnation
+	incarnation := a.incarnation
 	a.w.after(drainReadDelay, func() {
 		a.run(func() {
-			if a.incarnation == life && a.drains.read(a.w, a.w.now) {
+			if a.incarnation == incarnation && a.drains.read(a.w, a.w.now) {
 				a.applyDrains()
 			}
 		})
--- a/coordination/model/owner_test.go
+++ b/coordination/model/owner_test.go
@@ -70,8 +70,8 @@
 	if o.killed() {
 		return
 	}
-	if wait := o.frozenUntil - o.w.now; wait > 0 {
-		o.w.after(wait, func() { o.run(do) })
+	if frozenFor := o.frozenUntil - o.w.now; frozenFor > 0 {
+		o.w.after(frozenFor, func() { o.run(do) })
 		return
 	}
 	do()
@@ -111,9 +111,9 @@
 		}
 		for _, a := range o.w.agents {
 			if l := o.links[a]; l != nil && l.up {
-				tell := l.drainsMessage()
+				deliverDrains := l.drainsMessage()
 				l.toAgent(func() {
-					tell()
+					deliverDrains()
 					l.heartbeat()
 				})
 			} else if l == nil || o.w.now >= l.redialAt {
@@ -144,24 +144,24 @@
 }
 
 // cutLink drops what is on its way and ends the link; it is dialled anew later.
-func (o *ownerModel) cutLink(a *agentModel, away time.Duration) {
+func (o *ownerModel) cutLink(a *agentModel, redialDelay time.Duration) {
 	l := o.links[a]
 	if l == nil {
 		return
 	}
-	l.redialAt = o.w.now + away
-	l.down(o.w.randUpTo(min(away, 700*time.Millisecond)))
+	l.redialAt = o.w.now + redialDelay
+	l.down(o.w.randUpTo(min(redialDelay, 700*time.Millisecond)))
 }
 
 // down ends a link. The owner notices after a while, and the agent after a
 // while of its own or never.
-func (l *link) down(notice time.Duration) {
+func (l *link) down(noticeDelay time.Duration) {
 	if !l.up {
 		return
 	}
 	w := l.owner.w
 	l.up = false
-	w.after(notice, func() {
+	w.after(noticeDelay, func() {
 		l.owner.run(func() {
 			l.owner.fleet.LinkLost(l.agent.name)
 			l.owner.shard.LinkLost(w.now, l.agent.name, l.session)
@@ -177,10 +177,10 @@
 func (l *link) toAgent(do func()) {
 	w := l.owner.w
 	l.lastToAgent = max(l.lastToAgent, w.now+w.randUpTo(3*time.Millisecond))
-	life := l.agent.incarnation
+	incarnation := l.agent.incarnation
 	w.after(l.lastToAgent-w.now, func() {
 		l.agent.run(func() {
-			if l.up && l.agent.incarnation == life {
+			if l.up && l.agent.incarnation == incarnation {
 				do()
 			}
 		})
@@ -218,9 +218,9 @@
 	for _, p := range fx.Orders {
 		order := p.Value
 		o.send(p.Node, func(l *link) func() {
-			tell := l.drainsMessage()
+			deliverDrains := l.drainsMessage()
 			return func() {
-				tell()
+				deliverDrains()
 				l.agent.order(l, order)
 			}
 		})
@@ -242,10 +242,10 @@
 }
 
 // send has something done at an agent. What is told of the owner is as of now.
-func (o *ownerModel) send(node string, make func(*link) func()) {
+func (o *ownerModel) send(node string, newMessage func(*link) func()) {
 	for a, l := range o.links {
 		if a.name == node && l.up {
-			l.toAgent(make(l))
+			l.toAgent(newMessage(l))
 		}
 	}
 }
--- a/coordination/model/server_test.go
+++ b/coordination/model/server_test.go
@@ -44,11 +44,11 @@
 
 func newServer(w *world, a *agentModel) *serverModel {
 	e := &serverModel{w: w, agent: a, clockOffset: w.randUpTo(time.Hour)}
-	bound := 0.02
+	maxDrift := 0.02
 	if w.mutant == excessClockDrift {
-		bound = 0.15
+		maxDrift = 0.15
 	}
-	e.clockRate = 1 + bound*(2*w.rand.Float64()-1)
+	e.clockRate = 1 + maxDrift*(2*w.rand.Float64()-1)
 	e.boot()
 	e.tick()
 	return e
@@ -88,7 +88,7 @@
 }
 
 // crash ends everything here; another instance comes up.
-func (e *serverModel) crash(away time.Duration) {
+func (e *serverModel) crash(downtime time.Duration) {
 	if !e.up {
 		return
 	}
@@ -100,7 +100,7 @@
 	})
 	e.runs = nil
 	e.up = false
-	e.w.after(away, e.boot)
+	e.w.after(downtime, e.boot)
 }
 
 // roomGrace is how long after it has shrunk a start may go by the room before: an agent may
@@ -108,14 +108,14 @@
 const capacityGrace = 6 * time.Second
 
 // resize changes what the server says that it has, for a time.
-func (e *serverModel) resize(cpuMillis int64, length time.Duration) {
+func (e *serverModel) resize(cpuMillis int64, duration time.Duration) {
 	if !e.up {
 		return
 	}
 	e.formerCPU, e.formerCPUUntil = e.maxCPU(), e.w.now+capacityGrace
 	e.capacity.CPUMillis = cpuMillis
 	instance := e.instance
-	e.w.after(length, func() {
+	e.w.after(duration, func() {
 		if e.instance == instance {
 			e.capacity = capacity
 		}
@@ -153,17 +153,17 @@
 	}
 }
 
-func (e *serverModel) fenced(life int64) bool {
-	if life < e.fencingToken && e.w.mutant != noCallFence {
+func (e *serverModel) fenced(incarnation int64) bool {
+	if incarnation < e.fencingToken && e.w.mutant != noCallFence {
 		return true
 	}
-	e.fencingToken = max(e.fencingToken, life)
+	e.fencingToken = max(e.fencingToken, incarnation)
 	return false
 }
 
-func (e *serverModel) runStart(life int64, c worker.StartCall) bool {
-	e.w.trace("%s start %v at life %d fence %d clock %d deadline %d up %v for %s", e.name(), c.Run, life, e.fencingToken, e.clock(), c.Deadline, e.up, c.Instance)
-	if !e.up || c.Instance != e.name() || e.fenced(life) {
+func (e *serverModel) runStart(incarnation int64, c worker.StartCall) bool {
+	e.w.trace("%s start %v at life %d fence %d clock %d deadline %d up %v for %s", e.name(), c.Run, incarnation, e.fencingToken, e.clock(), c.Deadline, e.up, c.Instance)
+	if !e.up || c.Instance != e.name() || e.fenced(incarnation) {
 		return false
 	}
 	if c.Deadline <= e.clock() && e.w.mutant != noStartDeadline {
@@ -172,11 +172,11 @@
 	e.expireLease()
 	e.leaseDeadline = max(e.leaseDeadline, c.Deadline)
 	task := c.Run.Task
-	number, there := e.runs[task]
-	if there && number == c.Run.Number {
+	number, active := e.runs[task]
+	if active && number == c.Run.Number {
 		return true
 	}
-	if there || c.Run.Number <= e.barred[task] {
+	if active || c.Run.Number <= e.barred[task] {
 		return false
 	}
 	e.runs[task] = c.Run.Number
@@ -186,11 +186,11 @@
 		e.w.after(e.w.randUpTo(100*time.Millisecond), func() { e.crashByTask(task, c.Run.Number, instance) })
 		return true
 	}
-	length := e.w.randUpTo(900 * time.Millisecond)
+	duration := e.w.randUpTo(900 * time.Millisecond)
 	if e.w.chance(0.1) {
-		length = e.w.randUpTo(4 * time.Second)
+		duration = e.w.randUpTo(4 * time.Second)
 	}
-	e.w.after(length, func() {
+	e.w.after(duration, func() {
 		if e.up && e.instance == instance && e.runs[task] == c.Run.Number {
 			e.expireLease()
 			if _, still := e.runs[task]; still {
@@ -256,9 +256,9 @@
 // who had it was lost meanwhile: an agent that dies beside a crash, or an owner before it has
 // recorded what it was told while the agent dies too, leaves nobody who knows.
 func (w *world) countCrash(task job.TaskID, a *agentModel) {
-	life, o, l := a.incarnation, w.newestOwner(), a.ownerLink
+	incarnation, o, l := a.incarnation, w.newestOwner(), a.ownerLink
 	w.after(crashReportTime, func() {
-		undisturbed := a.incarnation == life && w.newestOwner() == o && l != nil && l.up && a.ownerLink == l && w.now >= a.frozenUntil && w.now >= o.frozenUntil
+		undisturbed := a.incarnation == incarnation && w.newestOwner() == o && l != nil && l.up && a.ownerLink == l && w.now >= a.frozenUntil && w.now >= o.frozenUntil
 		if undisturbed {
 			w.task(task).crashes++
 		}
@@ -275,21 +275,21 @@
 	e.ends = append(e.ends, serverEnd{ListedEnd: worker.ListedEnd{Seq: e.lastEndSeq, Run: runOf(task, number), Kind: kind}})
 }
 
-func (e *serverModel) runStop(life int64, c worker.StopCall) bool {
-	if !e.up || c.Instance != e.name() || e.fenced(life) {
+func (e *serverModel) runStop(incarnation int64, c worker.StopCall) bool {
+	if !e.up || c.Instance != e.name() || e.fenced(incarnation) {
 		return false
 	}
 	e.w.trace("%s stop %v", e.name(), c.Run)
 	task := c.Run.Task
-	if number, there := e.runs[task]; there && number <= c.Run.Number {
+	if number, active := e.runs[task]; active && number <= c.Run.Number {
 		e.end(task, job.Stopped)
 	}
 	e.barred[task] = max(e.barred[task], c.Run.Number)
 	return true
 }
 
-func (e *serverModel) hold(life int64, c worker.HoldCall, h *worker.HoldResult) bool {
-	if !e.up || c.Instance != e.name() || e.fenced(life) {
+func (e *serverModel) hold(incarnation int64, c worker.HoldCall, h *worker.HoldResult) bool {
+	if !e.up || c.Instance != e.name() || e.fenced(incarnation) {
 		return false
 	}
 	e.expireLease()
--- a/coordination/model/trace_test.go
+++ b/coordination/model/trace_test.go
@@ -24,9 +24,9 @@
 }
 
 // tail returns the last lines that concern a name.
-func (w *world) traceOf(name string, most int) string {
+func (w *world) traceOf(name string, limit int) string {
 	var out []string
-	for i := len(w.traceLines) - 1; i >= 0 && len(out) < most; i-- {
+	for i := len(w.traceLines) - 1; i >= 0 && len(out) < limit; i-- {
 		if l := w.traceLines[i]; strings.Contains(l.text, name) || strings.HasPrefix(l.text, "- ") {
 			out = append([]string{fmt.Sprint(l.at, " ", l.text)}, out...)
 		}
