--- a/coordination/model/agent_test.go
+++ b/coordination/model/agent_test.go
@@ -10,21 +10,23 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// agentModel drives one backend server's books.
+// agentModel simulates an agent: it drives the worker.Worker of one backend server.
 type agentModel struct {
 	w      *world
 	name   string
 	worker *worker.Worker
 	server *serverModel
-	// life numbers the processes; it is the fencing token.
+	// incarnation numbers the agent's processes. It is the fencing token of calls to the backend
+	// server.
 	incarnation int64
 	down        bool
 	startedAt   time.Duration
 	frozenUntil time.Duration
-	// until then only one owner reaches it, or none.
+	// partitionedUntil is the time until which only reachableBy can reach the agent, or no owner if
+	// that is nil.
 	partitionedUntil time.Duration
 	reachableBy      *ownerModel
-	// caller is the link of the shard's owner.
+	// ownerLink is the link over which the last accepted claim came; nil: none.
 	ownerLink *link
 	lastClaim worker.Claim
 	drains    drainView
@@ -43,7 +45,7 @@
 	a.w.markUnobserved(func(t *taskLedger) bool {
 		return strings.HasPrefix(t.lastServer, a.name+"-") && (t.lastServer != a.server.name() || !a.server.up)
 	})
-	a.w.trace("- %s life %d begins", a.name, a.incarnation)
+	a.w.trace("- %s incarnation %d starts", a.name, a.incarnation)
 	a.worker = worker.New(a.w.workerBounds())
 	a.ownerLink = nil
 	a.drains = drainView{tracker: &drains.Tracker{}}
@@ -58,7 +60,7 @@
 	a.hold(incarnation)
 }
 
-// loop does something again and again for as long as a life lasts.
+// loop calls do at an interval until the incarnation ends.
 func (a *agentModel) loop(incarnation int64, every time.Duration, do func()) {
 	a.run(func() {
 		if a.incarnation == incarnation {
@@ -72,6 +74,7 @@
 	})
 }
 
+// run calls do, after the agent has thawed if it is frozen. It does nothing if the agent is down.
 func (a *agentModel) run(do func()) {
 	if a.down {
 		return
@@ -83,15 +86,16 @@
 	do()
 }
 
-// contact is how long an agent has to have run for the bound on starts after crashes to hold
-// of it. An agent that restarts beside a crash has nobody left who saw it.
+// stableAfter is how long an agent must have run before the limits on starts after crashes and drains
+// are checked. If an agent restarts at the time of a crash, no process has observed the crash.
 const stableAfter = 4 * time.Second
 
 func (a *agentModel) stable() bool { return a.w.now-a.startedAt >= stableAfter }
 
 func (a *agentModel) freeze(d time.Duration) { a.frozenUntil = max(a.frozenUntil, a.w.now+d) }
 
-// ready reports whether the agent takes links: it has to know what runs beside it.
+// ready reports whether the agent accepts a link from an owner. It must know the runs on its backend
+// server first.
 func (a *agentModel) ready(o *ownerModel) bool {
 	if a.w.now < a.partitionedUntil && a.reachableBy != o {
 		return false
@@ -99,13 +103,13 @@
 	return !a.down && a.w.now >= a.frozenUntil && a.worker.Ready(a.w.now-a.startedAt)
 }
 
-// restart ends the process and starts another beside the same executor.
+// restart ends the agent's process and starts another after downtime. The backend server goes on.
 func (a *agentModel) restart(downtime time.Duration) {
 	if a.down {
 		return
 	}
 	a.down = true
-	a.w.trace("- %s goes down", a.name)
+	a.w.trace("- %s stops", a.name)
 	a.incarnation++
 	for _, o := range a.w.owners {
 		o.cutLink(a, downtime+a.w.randUpTo(300*time.Millisecond))
@@ -147,7 +151,7 @@
 	a.worker.Settled(s.Run, s.Void && a.w.mutant != voidEndsAcked)
 }
 
-// tell sends the load to whoever is linked.
+// sendLoad sends the agent's load to all linked owners.
 func (a *agentModel) sendLoad() {
 	load := a.worker.Load(a.w.now)
 	for _, o := range a.w.owners {
@@ -192,8 +196,9 @@
 	}
 }
 
-// call carries something out at the executor, perhaps late, and tells the agent
-// what came of it unless the answer is lost.
+// call carries out a call at the backend server and passes the response to the agent. While the
+// backend server is unreliable, the call may be late or its response lost; the agent then gets a
+// timeout.
 func (a *agentModel) call(do func() bool, onResponse func(answered, ok bool)) {
 	const timeout = 80 * time.Millisecond
 	w, incarnation, delay := a.w, a.incarnation, a.w.randUpTo(3*time.Millisecond)
@@ -222,7 +227,8 @@
 	})
 }
 
-// hold keeps the lease and reads the lists.
+// hold sends hold calls, which renew the lease and return the backend server's lists of runs and
+// ends, one after the other until the incarnation ends.
 func (a *agentModel) hold(incarnation int64) {
 	a.run(func() {
 		if a.incarnation != incarnation {
--- a/coordination/model/client_test.go
+++ b/coordination/model/client_test.go
@@ -10,7 +10,7 @@
 
 var taskDemand = job.Demand{CPUMillis: 1000, MemoryMB: 100}
 
-// client hands jobs in, asks for them and cancels some.
+// client submits jobs, queries their state and cancels some of them.
 type client struct {
 	w    *world
 	jobs map[job.ID]*clientJob
@@ -20,12 +20,12 @@
 type clientJob struct {
 	spec       job.Spec
 	atMostOnce bool
-	// crashes is set where the first task crashes each server that starts it.
+	// crashesServer is set if the first task crashes each backend server that starts it.
 	crashesServer bool
-	// accepted and refused are what it was told; unknown is set once a try's
-	// fate was open.
+	// accepted and refused are set by the responses to the client, and outcomeUnknown once a
+	// submission had no known outcome.
 	accepted, refused, outcomeUnknown bool
-	// final is the end that it was shown, by the owner of an epoch.
+	// final is the final state that the client was shown; finalShown is set once there is one.
 	final      job.State
 	finalShown bool
 }
@@ -37,10 +37,10 @@
 	c.checkStates()
 }
 
-// crasherShare is the share of the repeatable jobs whose first task crashes its servers.
+// crasherShare is the share of the repeatable jobs whose first task crashes its backend servers.
 const crasherShare = 0.06
 
-// crashes reports whether a task crashes its server.
+// crashes reports whether a task crashes its backend servers.
 func (c *client) crashes(id job.TaskID) bool {
 	return c.jobs[id.Job].crashesServer && id.Step == 0 && id.Index == 0
 }
@@ -58,7 +58,8 @@
 	c.try(id, j)
 }
 
-// someOwner is whoever the client's entry believes to own the shard.
+// pickOwner returns the owner that the client's entry takes for the current one. It may be the
+// previous owner.
 func (c *client) pickOwner() *ownerModel {
 	o := c.w.newestOwner()
 	if n := len(c.w.owners); n > 1 && c.w.chance(0.2) {
@@ -117,10 +118,10 @@
 			return
 		}
 		if c.w.chance(0.5) {
-			// It goes elsewhere and counts on it that nothing runs here.
+			// The client gives up and relies on the refusal: the job must never run.
 			j.refused = true
 			if c.started(id) {
-				c.w.addViolation(string(id), "%s was refused and has run", id)
+				c.w.addViolation(string(id), "job %s was refused and has run", id)
 			}
 			return
 		}
@@ -146,8 +147,8 @@
 	}
 }
 
-// look asks the newest owner for everything: nothing accepted may be unknown to
-// it, and no end that was shown may change.
+// checkStates queries all jobs at the newest owner. It must know every accepted job, and no final
+// state that was shown may change.
 func (c *client) checkStates() {
 	if o := c.w.newestOwner(); !o.dead && c.w.now >= o.frozenUntil && !o.shard.Closed() {
 		for _, id := range c.ids {
@@ -161,26 +162,26 @@
 	j := c.jobs[id]
 	switch {
 	case v.Outcome == owner.Absent && j.accepted:
-		c.w.addViolation(string(id), "%s was accepted and is not known any more", id)
+		c.w.addViolation(string(id), "job %s was accepted and is unknown now", id)
 	case v.Outcome != owner.OK:
 	case j.finalShown && v.State != j.final:
-		c.w.addViolation(string(id), "%s was %v and is %v now", id, j.final, v.State)
+		c.w.addViolation(string(id), "job %s was shown as %v and is %v now", id, j.final, v.State)
 	case v.State.Final():
 		j.finalShown, j.final = true, v.State
 	}
 }
 
-// settled checks, long after the last fault, that everything has come to an end.
+// checkAllEnded checks, long after the last fault, that all jobs have ended.
 func (c *client) checkAllEnded() {
 	for _, id := range c.ids {
 		j := c.jobs[id]
 		switch {
 		case j.accepted && !j.finalShown:
-			c.w.addViolation(string(id), "%s was accepted and has not ended", id)
+			c.w.addViolation(string(id), "job %s was accepted and has not ended", id)
 		case !j.accepted && !j.refused:
-			c.w.addViolation(string(id), "%s was never answered", id)
+			c.w.addViolation(string(id), "job %s was never answered", id)
 		case j.crashesServer && j.final == job.Completed:
-			c.w.addViolation(string(id), "%s can't be done and was completed", id)
+			c.w.addViolation(string(id), "job %s was completed although its first task crashes each backend server", id)
 		}
 		if j.atMostOnce && j.final != job.Cancelled {
 			c.checkStartedOnce(id)
@@ -188,11 +189,12 @@
 	}
 }
 
-// startedOnce: a task that may not be repeated was started once at most.
+// checkStartedOnce checks that no task of a job that must not be repeated was started twice. Tasks
+// whose run nobody may have observed are exempt.
 func (c *client) checkStartedOnce(id job.ID) {
 	for task, t := range c.w.ledger {
 		if task.Job == id && t.starts > 1 && !t.unobserved {
-			c.w.addViolation(string(task.Job), "%v, which may not be repeated, was started %d times", task, t.starts)
+			c.w.addViolation(string(task.Job), "task %v, which must not be repeated, was started %d times", task, t.starts)
 		}
 	}
 }
--- a/coordination/model/doc.go
+++ b/coordination/model/doc.go
@@ -1,4 +1,4 @@
-// Package model has no code of its own: its tests drive the machines of packages
-// owner and worker together through random faults, and take their safeguards out
-// one by one.
+// Package model holds only tests. They run the state machines of packages owner and worker
+// together in a simulated system with random faults, and check that the tests fail if any one
+// safeguard is disabled.
 package model
--- a/coordination/model/drain_test.go
+++ b/coordination/model/drain_test.go
@@ -7,45 +7,45 @@
 )
 
 const (
-	// drainBound is how long after a drain an agent in touch may still start something.
+	// maxDrainDelay is how long after a drain a stable agent may still start runs.
 	maxDrainDelay = 3 * time.Second
-	// drainsStale is the age of what an agent was told from which on it looks into the store.
+	// staleDrainsAge is the age of an agent's drain state from which on the agent reads the store.
 	staleDrainsAge = 2 * time.Second
-	// drainRead is how long a reader of the store takes to hear of a record.
+	// drainReadDelay is how long a process takes to read drains from the store.
 	drainReadDelay = 20 * time.Millisecond
 )
 
-// drainLog is what operators have written of drains. Each agent is in a failure domain of
-// its own, with its name.
+// drainLog has the drain records that operators have written. Each agent is in a failure domain of
+// its own, which has the agent's name.
 type drainLog struct {
 	changes []drains.Change
-	// since is when each domain was drained; those that are not are absent.
+	// since has the time at which each drained domain was drained.
 	since map[string]time.Duration
 }
 
-// drain has operators drain an agent's domain, and take it back after a while.
+// drain drains an agent's domain, unless it is drained already, and ends the drain after up to 9 s.
 func (w *world) drain(a *agentModel) {
 	if _, is := w.drains.since[a.name]; is {
 		return
 	}
-	w.trace("- %s is drained", a.name)
+	w.trace("- domain %s is drained", a.name)
 	w.drains.since[a.name] = w.now
 	w.drains.changes = append(w.drains.changes, drains.Change{Domain: a.name, Drained: true})
 	w.after(w.randUpTo(9*time.Second), func() {
-		w.trace("- %s is taken back", a.name)
+		w.trace("- the drain of domain %s has ended", a.name)
 		delete(w.drains.since, a.name)
 		w.drains.changes = append(w.drains.changes, drains.Change{Domain: a.name})
 	})
 }
 
-// drainView is what a process knows of drains.
+// drainView is a process's knowledge of the drains in force.
 type drainView struct {
 	tracker *drains.Tracker
-	// blind is the time until which the process does not reach the store.
+	// storeLostUntil is the time until which the process can't reach the store.
 	storeLostUntil time.Duration
 }
 
-// read takes in all that operators have written, as of a time.
+// read applies all drain records as of now. It reports whether the set of drained domains changed.
 func (v *drainView) read(w *world, now time.Duration) bool {
 	r := drains.NewReplayer(v.tracker)
 	r.Reset()
@@ -55,7 +55,7 @@
 	return r.Publish(now, int64(len(w.drains.changes))+1)
 }
 
-// followDrains has an owner read the store while it reaches it.
+// pollDrains reads the drains from the store every drainReadDelay while the owner can reach it.
 func (o *ownerModel) pollDrains() {
 	o.run(func() {
 		if now := o.w.now; now >= o.drains.storeLostUntil && o.drains.read(o.w, now) {
@@ -67,12 +67,12 @@
 	}
 }
 
-// tellDrains has a frame of the owner tell what it knows.
+// drainsMessage returns a function that delivers the owner's present drain state to the agent.
 func (l *link) drainsMessage() func() {
 	state, age := l.owner.drains.tracker.Latest(l.owner.w.now)
 	sent := l.owner.w.now
 	if l.owner.w.mutant == olderDrainsAccepted {
-		// Its own words are taken for the newest.
+		// With this position the state always counts as the newest.
 		state.Position = int64(l.owner.w.now)
 	}
 	return func() { l.agent.receiveDrains(state, age+l.agent.w.now-sent) }
@@ -91,7 +91,8 @@
 	a.apply(a.worker.DrainDomain(a.w.now, a.drains.tracker.State().Has(a.name)))
 }
 
-// lookForDrains has an agent whose callers have not heard from the store look itself.
+// readDrainsIfStale reads the drains from the store if the agent's state is stale because its owners
+// can't reach the store.
 func (a *agentModel) readDrainsIfStale() {
 	_, age := a.drains.tracker.Latest(a.w.now)
 	if age < staleDrainsAge || a.w.mutant == drainsNotRead {
@@ -107,11 +108,11 @@
 	})
 }
 
-// checkDrains holds a start that an agent sends against the drains in force.
+// checkDrains checks that the agent's domain is not drained when the agent sends a start call.
 func (a *agentModel) checkDrains() {
 	since, drained := a.w.drains.since[a.name]
 	undisturbed := a.stable() && a.w.now-a.frozenUntil >= stableAfter
 	if drained && undisturbed && a.w.now-since > maxDrainDelay {
-		a.w.addViolation(a.name, "%s starts something %v after its domain was drained", a.name, a.w.now-since)
+		a.w.addViolation(a.name, "%s sends a start call %v after its domain was drained", a.name, a.w.now-since)
 	}
 }
--- a/coordination/model/model_test.go
+++ b/coordination/model/model_test.go
@@ -6,23 +6,24 @@
 )
 
 var (
-	seeds     = flag.Int("model.seeds", 60, "how many worlds TestWorlds plays")
-	firstSeed = flag.Uint64("model.seed", 1, "the first world's seed")
-	rare      = flag.Bool("model.rare", false, "take the safeguards out that only rare worlds need")
-	tries     = flag.Int("model.tries", 400, "how many worlds a mutant has to be caught in")
+	seeds     = flag.Int("model.seeds", 60, "number of worlds that TestWorlds simulates")
+	firstSeed = flag.Uint64("model.seed", 1, "seed of the first world")
+	rare      = flag.Bool("model.rare", false, "test the mutants that are detected only in rare worlds")
+	tries     = flag.Int("model.tries", 400, "number of worlds within which each mutant must be detected")
 )
 
-// racedSeeds is how many worlds are played with the race detector.
+// raceDetectorWorlds is the maximum number of worlds simulated under the race detector.
 const raceDetectorWorlds = 5
 
-// Owners die, freeze and go on without knowing that they were replaced; agents
-// restart and freeze; executors crash, take calls late and lose answers; links
-// are cut; the store rejects writes and loses answers; clocks differ; tasks crash
-// the executors that start them, capacities shrink, and failure domains are drained.
-// Whatever happens: no task runs twice at a time or after its acknowledged end, nothing
-// accepted is lost, no shown end changes, nothing refused runs, no executor gets more than
-// fits, nothing starts in a drained domain, and no task is started on and on that takes
-// executors down.
+// TestWorlds injects random faults: owners are killed, freeze, and continue without knowing that
+// they were replaced; agents restart and freeze; backend servers crash, carry out calls late and
+// lose responses; links are cut; the store rejects writes and loses responses; clocks differ; tasks
+// crash the backend servers that start them; capacities shrink; failure domains are drained.
+//
+// It checks these invariants: no task has two concurrent runs or a run after its acknowledged end;
+// no accepted job is lost; no final state that a client was shown changes; no refused job runs; no
+// backend server exceeds its capacity; nothing starts in a drained domain; and a task that crashes
+// backend servers is not started again without limit.
 func TestWorlds(t *testing.T) {
 	steps, worlds := 0, *seeds
 	if raceDetector {
@@ -39,21 +40,22 @@
 	t.Logf("%d worlds, %d steps", worlds, steps)
 }
 
-// mutants are those that some tens of worlds catch.
+// mutants are the mutants that are detected within tens of worlds.
 var mutants = []mutant{
 	noStoreFence, claimsWithoutRuns, formerAgentsNotRead, agentsNotWritten, noTakeoverWait, noLostLinkWait,
 	acceptedBeforeWrite, settledBeforeWrite, noOrderFence, voidEndsAcked, lossesNotReported, capacityNotUpdated,
 	drainsIgnored, drainsNotRead, olderDrainsAccepted,
 }
 
-// rareMutants need several faults within milliseconds, or clocks that differ for
-// long: hundreds or thousands of worlds. They are played by hand.
+// rareMutants are detected only if several faults coincide within milliseconds, or if clocks differ
+// for a long time. That takes hundreds or thousands of worlds, so they are tested only with
+// -model.rare.
 var rareMutants = []mutant{
 	noOwnerTimeout, noCallFence, noStartDeadline, excessClockDrift, noRenewLimit, claimsUnconfirmed, lostLinksUnconfirmed, repeatsStartRuns,
 }
 
-// Each safeguard is taken out in turn. A model that doesn't notice would prove
-// nothing of it.
+// TestEachSafeguardIsNeeded disables each safeguard in turn. If no invariant is violated without a
+// safeguard, TestWorlds does not test that safeguard.
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	if raceDetector {
 		t.Skip("runs without the race detector, see .ci/run")
@@ -73,7 +75,7 @@
 					return
 				}
 			}
-			t.Errorf("not caught in %d worlds", *tries)
+			t.Errorf("mutant not detected in %d worlds", *tries)
 		})
 	}
 }
--- a/coordination/model/owner_test.go
+++ b/coordination/model/owner_test.go
@@ -12,7 +12,7 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// ownerModel drives one owner's machine.
+// ownerModel simulates an owner's process: it drives the owner.Shard of one epoch.
 type ownerModel struct {
 	w           *world
 	name        string
@@ -21,12 +21,14 @@
 	links       map[*agentModel]*link
 	dead        bool
 	frozenUntil time.Duration
-	replaced    bool
-	drains      drainView
-	// cut says that the group has dropped it and can't be asked.
+	// replaced is set once another owner has taken over.
+	replaced bool
+	drains   drainView
+	// unconfirmed is set once the group may have assigned the shard to another owner.
 	unconfirmed bool
-	writing     bool
-	// rejected is set while the store has not taken a write since it rejected one.
+	// writing is set while a batch is being written to the store.
+	writing bool
+	// rejected is set from a rejected write until the store accepts writes again.
 	rejected bool
 }
 
@@ -36,9 +38,9 @@
 	agent   *agentModel
 	session int64
 	up      bool
-	// there and back are when the last message each way arrives.
+	// lastToAgent and lastToOwner are when the last message in each direction arrives.
 	lastToAgent, lastToOwner time.Duration
-	// again is when the owner dials anew after the link has ended.
+	// redialAt is when the owner connects again after the link has ended.
 	redialAt time.Duration
 }
 
@@ -52,20 +54,21 @@
 	return o
 }
 
-// confirmed reports whether the group has dealt the shard to this owner as far as
-// it can know: the confirmation ends before another owner can have been given it.
+// confirmed reports whether the group still confirms that the shard is assigned to this owner. The
+// confirmation ends before the group assigns the shard to another owner.
 func (o *ownerModel) confirmed() bool { return !o.unconfirmed || o.w.mutant == claimsUnconfirmed }
 
 func (o *ownerModel) open() {
-	o.w.trace("- %s opens with epoch %d, agents %v", o.name, o.shard.Epoch, o.w.store.agents)
+	o.w.trace("- %s opens the shard with epoch %d, agents %v", o.name, o.shard.Epoch, o.w.store.agents)
 	o.pollDrains()
 	o.tick()
 }
 
-// gone says that the process is killed.
+// killed reports whether the process was killed.
 func (o *ownerModel) killed() bool { return o.dead }
 
-// run has something done once the process runs: it may be frozen.
+// run calls do, after the process has thawed if it is frozen. It does nothing if the process was
+// killed.
 func (o *ownerModel) run(do func()) {
 	if o.killed() {
 		return
@@ -86,8 +89,8 @@
 
 func (o *ownerModel) freeze(d time.Duration) { o.frozenUntil = max(o.frozenUntil, o.w.now+d) }
 
-// dropped is called when another owner takes over. The process notices within
-// its limit on renewing without the group, or by the store.
+// loseOwnership is called when another owner takes over. The process notices it within renewLimit, or
+// when the store rejects a write of its epoch.
 func (o *ownerModel) loseOwnership() {
 	if o.replaced || o.dead {
 		return
@@ -143,7 +146,8 @@
 	})
 }
 
-// cutLink drops what is on its way and ends the link; it is dialled anew later.
+// cutLink ends the link to an agent and drops the messages in transit. The owner connects again after
+// the given time.
 func (o *ownerModel) cutLink(a *agentModel, redialDelay time.Duration) {
 	l := o.links[a]
 	if l == nil {
@@ -153,8 +157,8 @@
 	l.down(o.w.randUpTo(min(redialDelay, 700*time.Millisecond)))
 }
 
-// down ends a link. The owner notices after a while, and the agent after a
-// while of its own or never.
+// down ends a link. The owner notices it after the given time. The agent notices it after a random
+// time or never.
 func (l *link) down(noticeDelay time.Duration) {
 	if !l.up {
 		return
@@ -199,8 +203,8 @@
 	})
 }
 
-// heard is a sign of life at the agent, which ends the link of an owner that was
-// silent for too long.
+// heartbeat delivers a heartbeat to the agent, which ends the link if the owner was silent for too
+// long.
 func (l *link) heartbeat() {
 	if !l.agent.worker.Heard(l.owner.w.now, l.owner.name) {
 		l.owner.cutLink(l.agent, 50*time.Millisecond)
@@ -241,7 +245,8 @@
 	}
 }
 
-// send has something done at an agent. What is told of the owner is as of now.
+// send sends a message over all links to an agent. The message is made now, with the owner's present
+// state, and delivered later.
 func (o *ownerModel) send(node string, newMessage func(*link) func()) {
 	for a, l := range o.links {
 		if a.name == node && l.up {
@@ -250,7 +255,7 @@
 	}
 }
 
-// write has the store take what is due, one call at a time.
+// write sends the records that are due to the store, one batch at a time.
 func (o *ownerModel) write() {
 	if o.writing || o.shard.Closed() || !o.shard.WriteDue(o.w.now) {
 		return
@@ -263,7 +268,8 @@
 	o.append(b, false)
 }
 
-// append repeats a call until its fate is known.
+// append writes a batch to the store and repeats the call until its outcome is known. unknown is set
+// if an earlier call may have been carried out.
 func (o *ownerModel) append(b owner.Batch, unknown bool) {
 	w := o.w
 	w.after(w.randUpTo(8*time.Millisecond), func() {
@@ -283,10 +289,10 @@
 			o.finish(func() owner.Effects { return o.shard.Rejected(w.now, b, "store") })
 			return
 		}
-		w.trace("%s store takes %s", o.name, describeBatch(b))
+		w.trace("%s store writes %s", o.name, describeBatch(b))
 		w.store.apply(b, w.mutant)
 		if w.chance(0.05) {
-			// The answer is lost; the repeat is answered as the first.
+			// The response is lost. The repeated call gets the same one.
 			w.after(60*time.Millisecond, func() { o.append(b, true) })
 			return
 		}
--- a/coordination/model/race_on_test.go
+++ b/coordination/model/race_on_test.go
@@ -2,6 +2,5 @@
 
 package model
 
-// raceDetector tells that the race detector is on, with which worlds take ten times as
-// long.
+// raceDetector reports whether the race detector is on. A world then takes ten times as long.
 const raceDetector = true
--- a/coordination/model/server_test.go
+++ b/coordination/model/server_test.go
@@ -10,35 +10,41 @@
 
 var capacity = job.Demand{CPUMillis: 2000, MemoryMB: 2000}
 
-// executor is a backend server: leases, fences, late calls, ends by number.
+// serverModel simulates a backend server: its lease, fencing, late calls and numbered ends of runs.
 type serverModel struct {
 	w     *world
 	agent *agentModel
-	// rate and offset make its clock.
+	// clockRate and clockOffset map the world's time to the server's clock.
 	clockRate   float64
 	clockOffset time.Duration
 	instance    int
 	up          bool
-	// troubled is the time until which calls are late and answers lost.
+	// unreliableUntil is the time until which calls may be late and responses lost.
 	unreliableUntil time.Duration
 
-	fencingToken  int64
+	// fencingToken is the highest incarnation of the agent that has called.
+	fencingToken int64
+	// leaseDeadline is the end of the lease in milliseconds of the server's clock.
 	leaseDeadline int64
+	// runs has the number of the active run of each task, and barred the highest run number of each
+	// task that can't be started any more.
 	runs          map[job.TaskID]int64
 	barred        map[job.TaskID]int64
 	ends          []serverEnd
 	lastEndSeq    int64
 	lastReportSeq int64
 
-	// capacity is what it says that it has; was is what it had said before, which counts
-	// until wasUntil for starts that were decided by it.
+	// capacity is the reported capacity. Until formerCPUUntil, starts are checked against formerCPU,
+	// the CPU reported before, since they may have been decided by it.
 	capacity       job.Demand
 	formerCPU      int64
 	formerCPUUntil time.Duration
 }
 
+// serverEnd is the end of a run that is not acknowledged yet.
 type serverEnd struct {
 	worker.ListedEnd
+	// lapsed is set if the lease expired before the end was acknowledged.
 	lapsed bool
 }
 
@@ -70,7 +76,7 @@
 	return (time.Duration(float64(e.w.now-time.Hour)*e.clockRate) + e.clockOffset).Milliseconds()
 }
 
-// report tells the agent beside it that it is there.
+// report sends the server's instance and capacity to its agent.
 func (e *serverModel) report() {
 	e.lastReportSeq++
 	s := worker.Server{Instance: e.name(), Service: "desk", Capacity: e.capacity, Seq: e.lastReportSeq}
@@ -87,7 +93,7 @@
 	})
 }
 
-// crash ends everything here; another instance comes up.
+// crash ends the instance with all its runs. Another instance starts after downtime.
 func (e *serverModel) crash(downtime time.Duration) {
 	if !e.up {
 		return
@@ -103,11 +109,11 @@
 	e.w.after(downtime, e.boot)
 }
 
-// roomGrace is how long after it has shrunk a start may go by the room before: an agent may
-// be frozen for 3 s, and a call be late by 1.5.
+// capacityGrace is how long after the capacity has changed starts may still be based on the former
+// capacity: an agent may be frozen for 3 s, and a call may be 1.5 s late.
 const capacityGrace = 6 * time.Second
 
-// resize changes what the server says that it has, for a time.
+// resize changes the reported CPU capacity for a time.
 func (e *serverModel) resize(cpuMillis int64, duration time.Duration) {
 	if !e.up {
 		return
@@ -122,7 +128,7 @@
 	})
 }
 
-// room is what runs may take at most.
+// maxCPU returns the thousandths of a core that runs may occupy at most.
 func (e *serverModel) maxCPU() int64 {
 	if e.w.now < e.formerCPUUntil {
 		return max(e.formerCPU, e.capacity.CPUMillis)
@@ -130,7 +136,7 @@
 	return e.capacity.CPUMillis
 }
 
-// watch lets leases run out.
+// tick expires the lease and sends reports, every 10 ms.
 func (e *serverModel) tick() {
 	if e.up {
 		e.expireLease()
@@ -141,6 +147,7 @@
 	e.w.after(10*time.Millisecond, e.tick)
 }
 
+// expireLease ends all runs if the lease has expired.
 func (e *serverModel) expireLease() {
 	if e.clock() <= e.leaseDeadline {
 		return
@@ -153,6 +160,8 @@
 	}
 }
 
+// fenced reports whether a call of an incarnation of the agent must be rejected, because a later
+// incarnation has called already.
 func (e *serverModel) fenced(incarnation int64) bool {
 	if incarnation < e.fencingToken && e.w.mutant != noCallFence {
 		return true
@@ -162,7 +171,7 @@
 }
 
 func (e *serverModel) runStart(incarnation int64, c worker.StartCall) bool {
-	e.w.trace("%s start %v at life %d fence %d clock %d deadline %d up %v for %s", e.name(), c.Run, incarnation, e.fencingToken, e.clock(), c.Deadline, e.up, c.Instance)
+	e.w.trace("%s start %v incarnation %d fencing token %d clock %d deadline %d up %v for %s", e.name(), c.Run, incarnation, e.fencingToken, e.clock(), c.Deadline, e.up, c.Instance)
 	if !e.up || c.Instance != e.name() || e.fenced(incarnation) {
 		return false
 	}
@@ -205,56 +214,57 @@
 	return true
 }
 
-// began holds a start against what must hold.
+// checkStart checks the invariants when a run starts.
 func (e *serverModel) checkStart(task job.TaskID) {
 	t := e.w.task(task)
 	t.running++
 	t.starts++
 	t.lastServer, t.lastIncarnation = e.name(), e.agent.incarnation
 	if t.running > 1 {
-		e.w.addViolation(string(task.Job), "two runs at a time of %v", task)
+		e.w.addViolation(string(task.Job), "two concurrent runs of task %v", task)
 	}
 	if t.endAcked {
-		e.w.addViolation(string(task.Job), "a run after the acknowledged end of %v", task)
+		e.w.addViolation(string(task.Job), "task %v was started after its acknowledged end", task)
 	}
 	if t.crashes >= maxCrashes && e.agent.stable() {
 		t.startsAfterCrashes++
 	}
 	if t.startsAfterCrashes == excessStartsAfterCrashes {
-		e.w.addViolation(string(task.Job), "%v was started %d times after %d servers had crashed under it", task, t.startsAfterCrashes, t.crashes)
+		e.w.addViolation(string(task.Job), "task %v was started %d times after it had crashed %d backend servers", task, t.startsAfterCrashes, t.crashes)
 	}
 	if int64(len(e.runs))*taskDemand.CPUMillis > e.maxCPU() {
-		e.w.addViolation(e.agent.name, "%s runs more than fits", e.name())
+		e.w.addViolation(e.agent.name, "the runs on backend server %s exceed its capacity", e.name())
 	}
 	if e.w.client.jobs[task.Job].refused {
-		e.w.addViolation(string(task.Job), "a run of %v, which was refused for good", task)
+		e.w.addViolation(string(task.Job), "task %v was started, but its job was refused for good", task)
 	}
 }
 
 const (
-	// mostCrashes is the number of servers that a task may take down, and mostStartsAfter
-	// that of its starts after them which is one too many.
+	// maxCrashes is how many backend servers a task may crash before it is given up.
+	// excessStartsAfterCrashes is the number of later starts from which on the invariant is
+	// violated.
 	maxCrashes               = 3
 	excessStartsAfterCrashes = 3
 )
 
-// crashedBy has a task that crashes its servers take this one down.
+// crashByTask crashes the server if the given run is still active on the given instance.
 func (e *serverModel) crashByTask(task job.TaskID, number int64, instance int) {
 	if !e.up || e.instance != instance || e.runs[task] != number {
 		return
 	}
-	e.w.trace("%s is crashed by %v number %d", e.name(), task, number)
+	e.w.trace("%s is crashed by %v run %d", e.name(), task, number)
 	e.w.countCrash(task, e.agent)
 	e.crash(e.w.randUpTo(3 * time.Second))
 }
 
-// told is how long the news of a crash may take: the server is back after 3 s at most, and
-// its lease is over before.
+// crashReportTime is how long the report of a crash to the owner may take. The server is back after
+// 3 s at most, and its lease has expired before that.
 const crashReportTime = 4 * time.Second
 
-// countCrash counts a crash against a task once its news had the time to be told, if nobody
-// who had it was lost meanwhile: an agent that dies beside a crash, or an owner before it has
-// recorded what it was told while the agent dies too, leaves nobody who knows.
+// countCrash counts a crash of a backend server against a task after crashReportTime, if agent, owner
+// and link were undisturbed until then. A crash is unknown to all processes if the agent fails at
+// the same time, or if agent and owner both fail before the owner has recorded it.
 func (w *world) countCrash(task job.TaskID, a *agentModel) {
 	incarnation, o, l := a.incarnation, w.newestOwner(), a.ownerLink
 	w.after(crashReportTime, func() {
@@ -267,7 +277,7 @@
 
 func (e *serverModel) end(task job.TaskID, kind job.EndKind) {
 	number := e.runs[task]
-	e.w.trace("%s end %v number %d %v", e.name(), task, number, kind)
+	e.w.trace("%s end %v run %d %v", e.name(), task, number, kind)
 	delete(e.runs, task)
 	e.barred[task] = number
 	e.w.task(task).running--
@@ -310,17 +320,18 @@
 	return true
 }
 
-// noted takes in that an end as done was acknowledged: the task is done, and
-// whoever comes later must know.
+// endAcknowledged records that a successful end of a task was acknowledged. From then on the task
+// must not run again.
 func (e *serverModel) endAcknowledged(task job.TaskID) {
-	e.w.trace("%s end of %v is acknowledged", e.name(), task)
+	e.w.trace("%s end of %v acknowledged", e.name(), task)
 	t := e.w.task(task)
 	if t.running > 0 {
-		e.w.addViolation(string(task.Job), "an end of %v was acknowledged that a run has replaced", task)
+		e.w.addViolation(string(task.Job), "a superseded end of task %v was acknowledged while another run is active", task)
 	}
 	t.endAcked = true
 }
 
+// holdFailure returns the failure of a hold call that was not answered or was rejected.
 func (e *serverModel) holdFailure(c worker.HoldCall, answered bool) worker.HoldFailure {
 	switch {
 	case !answered:
--- a/coordination/model/trace_test.go
+++ b/coordination/model/trace_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// history is how many of the last lines of a world's life are kept.
+// maxTraceLines is the minimum number of most recent trace lines that are kept; at most twice as
+// many are.
 const maxTraceLines = 20_000
 
-// traceLine is one line of a world's life. Machines iterate over maps, so a seed
-// doesn't give the same life twice: what led to a fault is kept instead.
+// traceLine is one line of a world's trace. The state machines iterate over maps, so a seed does not
+// reproduce a run. The trace is kept to show what led to a violation.
 type traceLine struct {
 	at   time.Duration
 	text string
@@ -23,7 +24,8 @@
 	}
 }
 
-// tail returns the last lines that concern a name.
+// traceOf returns the most recent lines, at most most, that contain name or describe an event of the
+// whole world; these begin with "- ".
 func (w *world) traceOf(name string, limit int) string {
 	var out []string
 	for i := len(w.traceLines) - 1; i >= 0 && len(out) < limit; i-- {
--- a/coordination/model/world_test.go
+++ b/coordination/model/world_test.go
@@ -12,73 +12,78 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// mutant says which safeguard is taken out.
+// mutant names the safeguard that is disabled in a world.
 type mutant string
 
 const (
 	unmutated mutant = ""
-	// The store takes writes of earlier epochs.
+	// The store accepts writes of earlier epochs.
 	noStoreFence mutant = "store takes earlier epochs"
-	// Agents answer claims without the runs they have.
+	// Agents omit their runs from answers to claims.
 	claimsWithoutRuns mutant = "claims answered without runs"
-	// A new owner doesn't know which agents may have runs.
+	// A new owner doesn't read which agents may have runs of earlier owners.
 	formerAgentsNotRead mutant = "agents of earlier owners not read"
-	// Orders go out before the agent stands in the store.
+	// Orders are sent to an agent before the store lists the agent as one that may have runs.
 	agentsNotWritten mutant = "agents not written before orders"
-	// Unreached agents of earlier owners are not waited for.
+	// A new owner doesn't wait for the agents of earlier owners that it can't reach.
 	noTakeoverWait mutant = "no wait for unreached agents"
-	// Lost links are given up at once.
+	// An owner doesn't wait after it has lost a link, and starts the tasks behind it elsewhere at
+	// once.
 	noLostLinkWait mutant = "lost links given up at once"
-	// Agents leave the runs of silent owners alone.
+	// Agents don't stop the runs of silent owners.
 	noOwnerTimeout mutant = "silent owners' runs go on"
-	// Callers are told of the acceptance before it is written.
+	// Clients get the acceptance of a job before it is written.
 	acceptedBeforeWrite mutant = "accepted before written"
-	// Ends are acknowledged before they are written.
+	// Ends are acknowledged to the backend server before the owner has written them.
 	settledBeforeWrite mutant = "ends settled before written"
-	// Agents take orders of earlier owners and links.
+	// Agents accept orders of earlier epochs and sessions.
 	noOrderFence mutant = "orders of any epoch and session"
-	// The executor takes calls of an agent's earlier life.
+	// The backend server accepts calls of earlier incarnations of the agent.
 	noCallFence mutant = "calls of earlier lives"
-	// Ends that a later run has replaced are acknowledged.
+	// Ends that a later run has superseded are acknowledged.
 	voidEndsAcked mutant = "void ends acknowledged"
-	// The executor starts what comes after its deadline.
+	// The backend server accepts start calls after their deadline.
 	noStartDeadline mutant = "starts after their deadline"
-	// Clocks differ by more than the platform's bound.
+	// The drift of clocks exceeds the platform's bound of 2 %.
 	excessClockDrift mutant = "clocks 15 % off"
-	// Owners that the group has dropped give up agents and start their runs anew.
+	// Owners that may have been replaced in the group start the tasks of unreachable agents
+	// elsewhere.
 	lostLinksUnconfirmed mutant = "lost links waited out without a confirmation"
-	// Repeated orders start what is gone.
+	// Repeated orders start runs that the agent no longer has.
 	repeatsStartRuns mutant = "repeated orders start runs"
-	// Owners that the group has dropped claim agents that have forgotten.
+	// Owners that were replaced in the group claim agents that have restarted and don't know the
+	// newer epoch.
 	claimsUnconfirmed mutant = "claims without a confirmation"
-	// Agents don't tell that runs were lost with their server.
+	// Agents don't report that runs were lost with their backend server.
 	lossesNotReported mutant = "losses with a server not told"
-	// Agents go on with the capacity that their server had at first.
+	// Agents use the first capacity that their backend server reported and ignore later ones.
 	capacityNotUpdated mutant = "capacity read once"
-	// Agents are told of drains and go on starting.
+	// Agents receive drains and continue to start runs.
 	drainsIgnored mutant = "drains ignored by agents"
-	// Agents whose callers have lost the store don't look into it.
+	// Agents don't read drains from the store when their owners can't.
 	drainsNotRead mutant = "drains not looked for"
-	// What a process tells of drains counts, however old it is.
+	// Agents accept a drain state that is older than the one they have.
 	olderDrainsAccepted mutant = "older drains taken for newer"
-	// Owners that the group has dropped never stop renewing.
+	// Owners that were replaced in the group never stop.
 	noRenewLimit mutant = "dropped owners go on for ever"
 )
 
 const (
-	numAgents       = 2
+	numAgents = 2
+	// renewLimit is how long an owner that was replaced in the group may go on without noticing.
 	renewLimit      = 6 * time.Second
 	lease           = time.Second
 	ownerTimeout    = 1300 * time.Millisecond
 	lostLinkTimeout = ownerTimeout + lease + 300*time.Millisecond
-	// faultsEnd is when the last fault begins, calm when all must be done.
+	// faultsEnd is when the last fault begins, and worldLength when all jobs must have ended. Both
+	// are relative to the start of the world.
 	faultsEnd   = 25 * time.Second
 	worldLength = 110 * time.Second
 )
 
-// world has a store, owners that take one shard over from one another, agents
-// with an executor each, and a client. All of it runs on one thread in virtual
-// time; the clocks of executors run fast or slow.
+// world simulates a store, successive owners of one shard, agents with a backend server each, and a
+// client. It runs on one goroutine in virtual time, and the clocks of the backend servers run fast
+// or slow.
 type world struct {
 	rand       *rand.Rand
 	mutant     mutant
@@ -130,35 +135,38 @@
 	return time.Duration(w.rand.Int64N(int64(d)) + 1)
 }
 
-// fault notes that something happened that never may, to whatever has this name.
+// addViolation records that an invariant was violated, with the latest trace lines that contain
+// name.
 func (w *world) addViolation(name, format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now-time.Hour)+fmt.Sprintf(format, args...)+"\n"+w.traceOf(name, 80))
 }
 
-// storeModel is the platform's store: one partition of keyed records.
+// storeModel simulates the platform's store: one partition of keyed records.
 type storeModel struct {
 	epoch   int64
 	records map[job.ID][]byte
 	agents  []string
-	// bad is the time until which writes are rejected.
+	// rejectsUntil is the time until which writes are rejected.
 	rejectsUntil time.Duration
 }
 
-// taskLedger is what must hold of a task, whoever believes what.
+// taskLedger records what really happened to a task, independently of what owners and agents know.
 type taskLedger struct {
 	running int
 	starts  int
-	// blind is set when it ran on a backend server that is gone, and so is the
-	// agent's life that knew of it. What became of it only its owner can tell, and
-	// if that is lost too, nobody: that it isn't repeated is not promised then.
+	// unobserved is set when the task ran on a backend server that is gone, together with the
+	// incarnation of the agent that knew of the run. Only the task's owner may then know what
+	// became of the run. If the owner is lost as well, a task that must not be repeated may be
+	// started again.
 	unobserved bool
-	// on is where it was started last, and by which life of the agent.
+	// lastServer is the instance of the backend server that the task was last started on, and
+	// lastIncarnation the incarnation of the agent that started it.
 	lastServer      string
 	lastIncarnation int64
-	// noted is set once an end as done was acknowledged with its lease held.
+	// endAcked is set once a successful end that came within the lease was acknowledged.
 	endAcked bool
-	// crashes counts the servers that the task has taken down, and after its starts after
-	// the last that it may.
+	// crashes counts the backend servers that the task has crashed, and startsAfterCrashes its
+	// starts after it has crashed maxCrashes of them.
 	crashes, startsAfterCrashes int
 }
 
@@ -171,8 +179,8 @@
 	return t
 }
 
-// blindTo notes that backend servers are gone with the agents' lives that knew
-// what they ran.
+// markUnobserved marks the tasks whose last backend server is gone, together with the incarnation of
+// the agent that knew its runs.
 func (w *world) markUnobserved(gone func(*taskLedger) bool) {
 	for _, t := range w.ledger {
 		t.unobserved = t.unobserved || gone(t)
@@ -196,7 +204,7 @@
 	return w
 }
 
-// run plays the world to its end.
+// run simulates the world until worldLength or the first violation.
 func (w *world) run() {
 	end := time.Hour + worldLength
 	for w.queue.Len() > 0 && len(w.violations) == 0 {
@@ -213,7 +221,7 @@
 	}
 }
 
-// troubles schedules the faults.
+// scheduleFaults schedules faults at random times before faultsEnd.
 func (w *world) scheduleFaults() {
 	for at := w.randUpTo(2 * time.Second); at < faultsEnd; at += w.randUpTo(3 * time.Second) {
 		w.after(at, w.injectFault)
@@ -227,7 +235,7 @@
 		w.newestOwner().kill()
 		w.after(w.randUpTo(2*time.Second), w.takeOver)
 	case 1:
-		// The group drops the owner, which doesn't know.
+		// The group replaces the owner, which doesn't know.
 		w.takeOver()
 	case 2:
 		w.newestOwner().freeze(w.randUpTo(4 * time.Second))
@@ -245,11 +253,11 @@
 	case 8:
 		w.store.rejectsUntil = w.now + w.randUpTo(2*time.Second)
 	case 9:
-		// Only the old owner reaches this agent, and it isn't the owner any more.
+		// Only the replaced owner can reach this agent.
 		a.reachableBy, a.partitionedUntil = w.newestOwner(), w.now+w.randUpTo(14*time.Second)
 		w.takeOver()
 	case 11:
-		// Starts are on their way when the agent's next life comes up.
+		// Start calls are in transit when the agent's next incarnation starts.
 		a.server.unreliableUntil = w.now + time.Second
 		w.after(w.randUpTo(800*time.Millisecond), func() { a.restart(w.randUpTo(30 * time.Millisecond)) })
 	case 12:
@@ -257,7 +265,7 @@
 	case 13:
 		w.drain(a)
 	case 14:
-		// An owner loses the store, and operators drain a domain meanwhile.
+		// An owner can't reach the store while operators drain a domain.
 		o := w.newestOwner()
 		o.drains.storeLostUntil = w.now + w.randUpTo(12*time.Second)
 		w.after(w.randUpTo(2*time.Second), func() { w.drain(a) })
@@ -271,7 +279,7 @@
 
 func (w *world) newestOwner() *ownerModel { return w.owners[len(w.owners)-1] }
 
-// takeOver has a new owner open the shard. Earlier ones go on until they notice.
+// takeOver starts a new owner of the shard. Earlier owners continue until they notice.
 func (w *world) takeOver() {
 	if w.now < w.store.rejectsUntil && len(w.owners) > 0 {
 		w.after(100*time.Millisecond, w.takeOver)
@@ -282,7 +290,7 @@
 	}
 	w.store.epoch++
 	if len(w.owners) > 0 {
-		// Owners reach agents by links of their own.
+		// Epochs need not be consecutive.
 		w.store.epoch += int64(w.rand.IntN(3))
 	}
 	o := newOwner(w, fmt.Sprintf("o%d", len(w.owners)), w.store.epoch)
@@ -324,8 +332,8 @@
 	return b
 }
 
-// anyLoad accepts whatever comes: the worlds are about what must always hold, and
-// refusals would hide it.
+// acceptAllParams returns parameters with which owners refuse no job for lack of capacity. Refused
+// jobs are never run, so they would not test the invariants.
 func acceptAllParams() owner.Params {
 	p := owner.DefaultParams()
 	p.ObjectiveShare = 100
