--- a/coordination/load/ablation_test.go
+++ b/coordination/load/ablation_test.go
@@ -47,7 +47,7 @@
 }
 
 // days are the loads and faults of the table.
-var days = []struct {
+var scenarios = []struct {
 	name string
 	setup
 	mix   []class
@@ -102,8 +102,8 @@
 	var wg sync.WaitGroup
 	semaphore := make(chan struct{}, 4)
 	for i, m := range variants {
-		table[i] = make([]string, len(days))
-		for k, d := range days {
+		table[i] = make([]string, len(scenarios))
+		for k, d := range scenarios {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
@@ -117,7 +117,7 @@
 	}
 	wg.Wait()
 	names := []string{"off"}
-	for _, d := range days {
+	for _, d := range scenarios {
 		names = append(names, d.name)
 	}
 	fmt.Println("| " + strings.Join(names, " | ") + " |")
--- a/coordination/load/crash_test.go
+++ b/coordination/load/crash_test.go
@@ -57,8 +57,8 @@
 }
 
 // sabotage has jobs come whose first task crashes its servers, so many a second.
-func (w *world) submitCrashers(c *class, perS float64, length time.Duration) (count int) {
-	for at := time.Duration(0); perS > 0 && at < length; at += time.Duration(float64(time.Second) / perS) {
+func (w *world) submitCrashers(c *class, jobsPerSecond float64, length time.Duration) (count int) {
+	for at := time.Duration(0); jobsPerSecond > 0 && at < length; at += time.Duration(float64(time.Second) / jobsPerSecond) {
 		count++
 		w.after(at, func() {
 			r := w.draw(c)
@@ -78,13 +78,13 @@
 	crashers, lost, givenUp, most int
 }
 
-func runCrashers(s setup, share, perS float64, days int) crashResult {
+func runCrashers(s setup, share, crashersPerSecond float64, days int) crashResult {
 	var out crashResult
 	for s.seed = range uint64(days) {
 		w := newWorld(s)
 		w.patient = true
 		w.runUntil(w.now + time.Second)
-		out.crashers += w.submitCrashers(&grownMix[2], perS, crashLoadDuration)
+		out.crashers += w.submitCrashers(&grownMix[2], crashersPerSecond, crashLoadDuration)
 		w.run(grownMix, share, crashLoadDuration)
 		w.runUntil(w.now + 20*time.Second)
 		out.served += w.servedValue(grownMix) / float64(days)
--- a/coordination/load/drain_test.go
+++ b/coordination/load/drain_test.go
@@ -149,10 +149,10 @@
 	fleet, loads := drainFleet()
 	for _, share := range loads {
 		for _, cold := range []float64{2, 3} {
-			_, said := drainScenario{setup: fleet, share: share, coldFactor: cold}.run(grownMix)
-			_, hidden := drainScenario{setup: fleet, share: share, coldFactor: cold, coldUnreported: true}.run(grownMix)
-			t.Logf("load %.1f, %.1f times as long: after %.3f (if servers don't say so %.3f)", share, cold, said, hidden)
-			is.True(!checkBounds || share > 0.8 || said > hidden)
+			_, reported := drainScenario{setup: fleet, share: share, coldFactor: cold}.run(grownMix)
+			_, unreported := drainScenario{setup: fleet, share: share, coldFactor: cold, coldUnreported: true}.run(grownMix)
+			t.Logf("load %.1f, %.1f times as long: after %.3f (if servers don't say so %.3f)", share, cold, reported, unreported)
+			is.True(!checkBounds || share > 0.8 || reported > unreported)
 		}
 	}
 }
--- a/coordination/load/faults_test.go
+++ b/coordination/load/faults_test.go
@@ -10,15 +10,15 @@
 const faultDuration = 1500 * time.Millisecond
 
 // burst has more of the most urgent class come, times times as much, for a time.
-func (w *world) burst(times float64, length time.Duration) {
-	w.burstFactor = times
+func (w *world) burst(factor float64, length time.Duration) {
+	w.burstFactor = factor
 	w.after(length, func() { w.burstFactor = 1 })
 }
 
 // slow has some backend servers take longer.
-func (w *world) slow(count int, times float64) {
+func (w *world) slow(count int, factor float64) {
 	for _, a := range w.agents[:count] {
-		a.durationFactor = times
+		a.durationFactor = factor
 		w.after(faultDuration, func() { a.durationFactor = 1 })
 	}
 }
@@ -46,7 +46,7 @@
 
 // crash ends an agent's backend server with all that runs there, and brings an empty one
 // in its place.
-func (a *agent) crash(away time.Duration) {
+func (a *agent) crash(downtime time.Duration) {
 	if a.serverDown {
 		return
 	}
@@ -54,7 +54,7 @@
 	a.ends, a.lastEndSeq = nil, 0
 	a.serverDown = true
 	a.serverInstance++
-	a.w.after(away, func() {
+	a.w.after(downtime, func() {
 		a.serverDown = false
 		a.report()
 	})
--- a/coordination/load/load_test.go
+++ b/coordination/load/load_test.go
@@ -20,7 +20,7 @@
 
 // day plays a mix at a share of what the agents carry, with some seeds, and returns
 // the share of the worth that was served and what became of each class.
-func runDays(s setup, mix []class, share float64) (float64, map[string]tally) {
+func runPerClass(s setup, mix []class, share float64) (float64, map[string]tally) {
 	var served float64
 	sum := make(map[string]tally)
 	for s.seed = range seeds {
@@ -44,7 +44,7 @@
 		setup
 		share, least float64
 	}{{small, 0.75, 0.96}, {small, 0.9, 0.91}, {large, 0.75, 0.99}, {large, 0.9, 0.97}} {
-		served, sum := runDays(d.setup, grownMix, d.share)
+		served, sum := runPerClass(d.setup, grownMix, d.share)
 		t.Logf("%d entries, load %.2f: served %.3f, %+v", d.entries, d.share, served, sum)
 		is.True(!checkBounds || served > d.least)
 	}
@@ -55,7 +55,7 @@
 // of the short jobs came so late that they were of no use, and their work was wasted.
 func TestManyEntriesDoNotPromiseTheSameRoom(t *testing.T) {
 	is := is.New(t)
-	served, sum := runDays(large, grownMix, 1.15)
+	served, sum := runPerClass(large, grownMix, 1.15)
 	t.Logf("load 1.15: served %.3f, %+v", served, sum)
 	is.True(!checkBounds || served > 0.8) // 0.77 before
 	for _, c := range sum {
@@ -68,7 +68,7 @@
 // is that they come first.
 func TestUrgentJobsFindRoomUnderOverload(t *testing.T) {
 	is := is.New(t)
-	_, sum := runDays(large, grownMix, 1.15)
+	_, sum := runPerClass(large, grownMix, 1.15)
 	t.Logf("load 1.15: %+v", sum)
 	is.True(!checkBounds || sum["short"].inTimeShare() > 0.77) // 0.66 before
 	is.True(!checkBounds || sum["usual"].inTimeShare() > 0.75)
--- a/coordination/load/mix_test.go
+++ b/coordination/load/mix_test.go
@@ -14,9 +14,9 @@
 type class struct {
 	queue         string
 	jobsPerSecond float64
-	width         float64
-	work          time.Duration
-	cpu           int64
+	meanTasks     float64
+	meanWork      time.Duration
+	cpuMillis     int64
 	value         float64
 	priority      int
 }
@@ -24,39 +24,39 @@
 // grown is the mix of the users' grown sites, of 922 jobs a second on 59 agents,
 // for one agent.
 var grownMix = []class{
-	{queue: "short", jobsPerSecond: 223. / 55, width: 8, work: 60 * time.Millisecond, cpu: 1300, value: 0.00485},
-	{queue: "long", jobsPerSecond: 50.7 / 55, width: 4, work: 900 * time.Millisecond, cpu: 1300, value: 0.0267, priority: 2},
-	{queue: "usual", jobsPerSecond: 648. / 55, width: 2, work: 200 * time.Millisecond, cpu: 1300, value: 0.00167, priority: 1},
+	{queue: "short", jobsPerSecond: 223. / 55, meanTasks: 8, meanWork: 60 * time.Millisecond, cpuMillis: 1300, value: 0.00485},
+	{queue: "long", jobsPerSecond: 50.7 / 55, meanTasks: 4, meanWork: 900 * time.Millisecond, cpuMillis: 1300, value: 0.0267, priority: 2},
+	{queue: "usual", jobsPerSecond: 648. / 55, meanTasks: 2, meanWork: 200 * time.Millisecond, cpuMillis: 1300, value: 0.00167, priority: 1},
 }
 
 // shifted is the mix of a site whose work has changed to longer jobs, of 717 jobs a second on
 // 51 agents.
 var shiftedMix = []class{
-	{queue: "short", jobsPerSecond: 166. / 51, width: 8, work: 60 * time.Millisecond, cpu: 1200, value: 0.00485},
-	{queue: "long", jobsPerSecond: 65.8 / 51, width: 4, work: 900 * time.Millisecond, cpu: 1200, value: 0.0267, priority: 2},
-	{queue: "usual", jobsPerSecond: 485. / 51, width: 2, work: 200 * time.Millisecond, cpu: 1200, value: 0.00167, priority: 1},
+	{queue: "short", jobsPerSecond: 166. / 51, meanTasks: 8, meanWork: 60 * time.Millisecond, cpuMillis: 1200, value: 0.00485},
+	{queue: "long", jobsPerSecond: 65.8 / 51, meanTasks: 4, meanWork: 900 * time.Millisecond, cpuMillis: 1200, value: 0.0267, priority: 2},
+	{queue: "usual", jobsPerSecond: 485. / 51, meanTasks: 2, meanWork: 200 * time.Millisecond, cpuMillis: 1200, value: 0.00167, priority: 1},
 }
 
 // wide is the mix of the users' sites with larger tasks, of which ten fill a worker, of
 // 140 jobs a second on 11 agents.
 var wideMix = []class{
-	{queue: "short", jobsPerSecond: 34.4 / 11, width: 8, work: 60 * time.Millisecond, cpu: 1550, value: 0.0291},
-	{queue: "long", jobsPerSecond: 6.25 / 11, width: 4, work: 900 * time.Millisecond, cpu: 1550, value: 0.16, priority: 2},
-	{queue: "usual", jobsPerSecond: 100. / 11, width: 2, work: 200 * time.Millisecond, cpu: 1550, value: 0.01, priority: 1},
+	{queue: "short", jobsPerSecond: 34.4 / 11, meanTasks: 8, meanWork: 60 * time.Millisecond, cpuMillis: 1550, value: 0.0291},
+	{queue: "long", jobsPerSecond: 6.25 / 11, meanTasks: 4, meanWork: 900 * time.Millisecond, cpuMillis: 1550, value: 0.16, priority: 2},
+	{queue: "usual", jobsPerSecond: 100. / 11, meanTasks: 2, meanWork: 200 * time.Millisecond, cpuMillis: 1550, value: 0.01, priority: 1},
 }
 
 // halls is the mix of the users' large site, of 1,385 jobs a second on 160 agents.
 var largeSiteMix = []class{
-	{queue: "short", jobsPerSecond: 334. / 160, width: 8, work: 60 * time.Millisecond, cpu: 2500, value: 0.00323},
-	{queue: "long", jobsPerSecond: 75.8 / 160, width: 4, work: 900 * time.Millisecond, cpu: 2500, value: 0.0178, priority: 2},
-	{queue: "usual", jobsPerSecond: 972. / 160, width: 2, work: 200 * time.Millisecond, cpu: 2500, value: 0.00111, priority: 1},
+	{queue: "short", jobsPerSecond: 334. / 160, meanTasks: 8, meanWork: 60 * time.Millisecond, cpuMillis: 2500, value: 0.00323},
+	{queue: "long", jobsPerSecond: 75.8 / 160, meanTasks: 4, meanWork: 900 * time.Millisecond, cpuMillis: 2500, value: 0.0178, priority: 2},
+	{queue: "usual", jobsPerSecond: 972. / 160, meanTasks: 2, meanWork: 200 * time.Millisecond, cpuMillis: 2500, value: 0.00111, priority: 1},
 }
 
 // coresPerAgent is what these jobs keep at work on each agent.
 func coresPerAgent(mix []class) float64 {
 	var cores float64
 	for _, c := range mix {
-		cores += c.jobsPerSecond * c.width * c.work.Seconds() * float64(c.cpu) / 1000
+		cores += c.jobsPerSecond * c.meanTasks * c.meanWork.Seconds() * float64(c.cpuMillis) / 1000
 	}
 	return cores
 }
@@ -88,7 +88,7 @@
 
 const (
 	workSpread      = 0.4
-	widthSpread     = 0.4
+	taskCountSpread = 0.4
 	workSpreadInJob = 0.15
 	estimateSpread  = 0.4
 	slackFactor     = 1.6
@@ -113,15 +113,15 @@
 
 // draw returns a job.
 func (w *world) draw(c *class) *request {
-	mean := w.logNormal(float64(c.work), workSpread)
-	n := max(1, int(math.Round(w.logNormal(c.width, widthSpread))))
+	mean := w.logNormal(float64(c.meanWork), workSpread)
+	n := max(1, int(math.Round(w.logNormal(c.meanTasks, taskCountSpread))))
 	r := &request{class: c, submittedAt: w.now, patient: w.patient, id: job.ID(fmt.Sprintf("%016x", len(w.jobs)+1))}
 	for range n {
 		r.taskWork = append(r.taskWork, time.Duration(w.logNormal(mean, workSpreadInJob)))
 	}
 	r.objective = time.Duration(slackFactor*float64(slices.Max(r.taskWork))) + targetLatency
 	r.step = job.Step{
-		Count: n, Demand: job.Demand{CPUMillis: c.cpu, MemoryMB: 64}, Estimate: time.Duration(w.logNormal(mean, estimateSpread)),
+		Count: n, Demand: job.Demand{CPUMillis: c.cpuMillis, MemoryMB: 64}, Estimate: time.Duration(w.logNormal(mean, estimateSpread)),
 	}
 	return r
 }
@@ -171,9 +171,9 @@
 	spec := job.Spec{BestEffort: true, ClientTimeout: left, Steps: []job.Step{r.step}}
 	policy := job.Policy{Queue: c.queue, Service: service, Priority: c.priority, MaxAttempts: 3, Slack: slackFactor, Target: targetLatency, RequestTimeout: minTimeout}
 	r.entry = e
-	life := e.incarnation
+	incarnation := e.incarnation
 	e.apply(e.Submit(w.now, r.id, spec, policy, func(v owner.Response) {
-		if !r.ended && e.incarnation == life {
+		if !r.ended && e.incarnation == incarnation {
 			w.record(r, v)
 		}
 	}))
@@ -192,11 +192,11 @@
 		t = &tally{}
 		w.tallies[r.class.queue] = t
 	}
-	took := w.now - r.submittedAt
+	elapsed := w.now - r.submittedAt
 	r.ended = true
 	if r.entry == w.entries[0] {
 		w.busyEntry.asked++
-		if v.Outcome == owner.OK && v.State == job.Completed && took <= r.objective {
+		if v.Outcome == owner.OK && v.State == job.Completed && elapsed <= r.objective {
 			w.busyEntry.inAim++
 		}
 	}
@@ -204,9 +204,9 @@
 	switch {
 	case v.Outcome == owner.Refused:
 		t.refused++
-	case v.Outcome != owner.OK || v.State != job.Completed || took > lateFactor*r.objective:
+	case v.Outcome != owner.OK || v.State != job.Completed || elapsed > lateFactor*r.objective:
 		t.tooLate++
-	case took > r.objective:
+	case elapsed > r.objective:
 		t.late++
 	default:
 		t.inAim++
@@ -215,14 +215,14 @@
 
 // play sends a mix at a share of what the agents carry, for a time.
 func (w *world) run(mix []class, share float64, length time.Duration) {
-	var room float64
+	var totalCores float64
 	for i := range w.agents {
-		room += 16
+		totalCores += 16
 		if i%3 == 2 {
-			room += 8
+			totalCores += 8
 		}
 	}
-	scale := share * room / coresPerAgent(mix)
+	scale := share * totalCores / coresPerAgent(mix)
 	end := w.now + length
 	for i := range mix {
 		c := &mix[i]
@@ -241,16 +241,16 @@
 
 // served is the share of the worth that was served, late answers at a fifth.
 func (w *world) servedValue(mix []class) float64 {
-	var got, owed float64
+	var gained, possible float64
 	for _, c := range mix {
 		t := w.tallies[c.queue]
 		if t == nil {
 			continue
 		}
-		got += c.value * (float64(t.inAim) + 0.2*float64(t.late))
-		owed += c.value * float64(t.asked)
+		gained += c.value * (float64(t.inAim) + 0.2*float64(t.late))
+		possible += c.value * float64(t.asked)
 	}
-	return got / owed
+	return gained / possible
 }
 
 func (t tally) plus(o *tally) tally {
--- a/coordination/load/size_test.go
+++ b/coordination/load/size_test.go
@@ -27,13 +27,13 @@
 }
 
 // played is what became of the jobs of some days of one kind.
-type dayResult struct {
+type outcomeShares struct {
 	served, inTime, late, refused, tooLate float64
 }
 
-func (s setup) runDays(mix []class, share float64, days int) dayResult {
+func (s setup) runShares(mix []class, share float64, days int) outcomeShares {
 	var sum tally
-	var out dayResult
+	var out outcomeShares
 	for s.seed = range uint64(days) {
 		w := newWorld(s)
 		w.runUntil(w.now + time.Second)
@@ -50,7 +50,7 @@
 	return out
 }
 
-func (p dayResult) String() string {
+func (p outcomeShares) String() string {
 	return fmt.Sprintf("%.3f | %.3f | %.3f | %.3f | %.3f", p.served, p.inTime, p.late, p.refused, p.tooLate)
 }
 
@@ -70,20 +70,20 @@
 		{.9, fleet(8, 51, 0)}, {.9, fleet(8, 51, 32)},
 		{.9, fleet(216, 992, 32)},
 	}
-	drawn := fleet(35, 160, 32)
-	drawn.fallbackBuckets = true
+	fallback := fleet(35, 160, 32)
+	fallback.fallbackBuckets = true
 	rows = append(rows, struct {
 		share float64
 		setup
-	}{.9, drawn})
-	out := make([]dayResult, len(rows))
+	}{.9, fallback})
+	out := make([]outcomeShares, len(rows))
 	semaphore := make(chan struct{}, 3)
 	var wg sync.WaitGroup
 	for i, r := range rows {
 		wg.Go(func() {
 			semaphore <- struct{}{}
 			defer func() { <-semaphore }()
-			out[i] = r.runDays(largeSiteMix, r.share, 2)
+			out[i] = r.runShares(largeSiteMix, r.share, 2)
 		})
 	}
 	wg.Wait()
@@ -102,9 +102,9 @@
 // late. With links to a subset the share in time is that of a few entries, at any size.
 func TestShareInTimeDoesNotFallWithSize(t *testing.T) {
 	is := is.New(t)
-	few := fleet(5, 51, linksPerEntry).runDays(largeSiteMix, .9, sizeSeeds)
+	few := fleet(5, 51, linksPerEntry).runShares(largeSiteMix, .9, sizeSeeds)
 	for _, s := range []setup{fleet(13, 70, linksPerEntry), fleet(35, 160, linksPerEntry)} {
-		got := s.runDays(largeSiteMix, .9, sizeSeeds)
+		got := s.runShares(largeSiteMix, .9, sizeSeeds)
 		t.Logf("%d x %d: %v; 5 entries: %v", s.entries, s.agents, got, few)
 		is.True(!checkBounds || got.inTime > few.inTime-0.03)
 	}
--- a/coordination/load/uneven_test.go
+++ b/coordination/load/uneven_test.go
@@ -9,12 +9,12 @@
 
 // unevenDay plays a day on which one entry has three times the traffic of the others, and
 // returns the share of its jobs in time, that of all, and the share of the worth.
-func runUneven(share float64, uncounted bool) (busy, all, served float64) {
+func runUneven(share float64, hideTotalOrders bool) (busy, all, served float64) {
 	s := large
 	var busyEntry, total tally
 	for s.seed = range uint64(unevenSeeds) {
 		w := newWorld(s)
-		w.unevenTraffic, w.hideTotalOrders = true, uncounted
+		w.unevenTraffic, w.hideTotalOrders = true, hideTotalOrders
 		w.runUntil(w.now + time.Second)
 		w.run(grownMix, share, 4*time.Second)
 		w.runUntil(w.now + 4*time.Second)
--- a/coordination/load/world_test.go
+++ b/coordination/load/world_test.go
@@ -155,13 +155,13 @@
 }
 
 // every repeats something, beginning at a random phase.
-func (w *world) every(pace time.Duration, do func()) {
+func (w *world) every(interval time.Duration, do func()) {
 	var again func()
 	again = func() {
 		do()
-		w.after(pace, again)
+		w.after(interval, again)
 	}
-	w.after(time.Duration(w.rand.Int64N(int64(pace))), again)
+	w.after(time.Duration(w.rand.Int64N(int64(interval))), again)
 }
 
 func (w *world) runUntil(end time.Duration) {
@@ -231,16 +231,16 @@
 
 func (e *entry) apply(fx owner.Effects) {
 	for _, o := range fx.Orders {
-		a, what := e.w.agent(o.Node), o.Value
-		e.w.after(frameDelay, func() { a.order(e, what) })
+		a, value := e.w.agent(o.Node), o.Value
+		e.w.after(frameDelay, func() { a.order(e, value) })
 	}
 	for _, s := range fx.Stops {
 		a, run := e.w.agent(s.Node), s.Value
 		e.w.after(frameDelay, func() { a.apply(a.Stop(e.w.now, e.ID, e.Epoch, run)) })
 	}
 	for _, s := range fx.Settled {
-		a, what := e.w.agent(s.Node), s.Value
-		e.w.after(heartbeatInterval/2, func() { a.Settled(what.Run, what.Void) })
+		a, value := e.w.agent(s.Node), s.Value
+		e.w.after(heartbeatInterval/2, func() { a.Settled(value.Run, value.Void) })
 	}
 	for _, r := range fx.Replies {
 		r.To(r.Response)
@@ -364,7 +364,7 @@
 }
 
 // later does something after a call, if the agent still lives then.
-func (a *agent) later(do func()) {
+func (a *agent) afterCall(do func()) {
 	incarnation := a.incarnation
 	a.w.after(callDelay, func() {
 		if a.incarnation == incarnation && !a.down {
@@ -376,7 +376,7 @@
 func (a *agent) apply(fx worker.Effects) {
 	for _, s := range fx.Starts {
 		instance := a.serverInstance
-		a.later(func() {
+		a.afterCall(func() {
 			if a.serverDown || a.serverInstance != instance {
 				a.apply(a.StartAnswered(a.w.now, s.Instance, s.Run, worker.StartUnhealthy, "no_connection"))
 				return
@@ -393,7 +393,7 @@
 		})
 	}
 	for _, s := range fx.Stops {
-		a.later(func() {
+		a.afterCall(func() {
 			a.apply(a.StopAnswered(a.w.now, s.Instance, s.Run, !a.serverDown))
 			a.end(s.Run, job.Stopped)
 		})
@@ -428,7 +428,7 @@
 	}
 	a.holding = true
 	instance := a.serverInstance
-	a.later(func() {
+	a.afterCall(func() {
 		a.holding = false
 		switch {
 		case a.serverDown:
