--- a/coordination/load/ablation_test.go
+++ b/coordination/load/ablation_test.go
@@ -12,41 +12,42 @@
 	"github.com/shallotstep/shallotstep/coordination/owner"
 )
 
-// The table of what each mechanism is worth, printed by
+// TestAblation prints a table of the served value with each mechanism switched off:
 //
 //	go test ./coordination/load -run TestAblation -v -load.ablation
 
-var ablation = flag.Bool("load.ablation", false, "play each day with each mechanism off in turn, and print what was served")
+var ablation = flag.Bool("load.ablation", false, "run each scenario with each mechanism off in turn, and print the share of the value served")
 
 // mechanisms are switched off one at a time.
 var mechanisms = []variant{
 	{"all on", func(*owner.Params) {}},
-	{"late jobs yield", func(p *owner.Params) { p.LateFactor = 0 }},
+	{"late jobs accepted", func(p *owner.Params) { p.LateFactor = 0 }},
 	{"late binding", func(p *owner.Params) { p.MaxPlacementWait = 0 }},
 	{"priorities", func(p *owner.Params) { p.PriorityFactor = 1 }},
-	{"aim share", func(p *owner.Params) { p.ObjectiveShare = 1 }},
-	{"others' orders", func(p *owner.Params) { p.OrderOverlap = 0 }},
-	{"stale news", func(p *owner.Params) { p.StaleLoadAge = time.Hour }},
+	{"objective share", func(p *owner.Params) { p.ObjectiveShare = 1 }},
+	{"order overlap", func(p *owner.Params) { p.OrderOverlap = 0 }},
+	{"stale loads avoided", func(p *owner.Params) { p.StaleLoadAge = time.Hour }},
 	{"reserve for late jobs", func(p *owner.Params) { p.LateReserve = 0 }},
-	{"learned times", func(p *owner.Params) { p.RunTimeWeight = 0 }},
-	{"first jobs wait", func(p *owner.Params) { p.StartupGrace = 0 }},
+	{"learned run times", func(p *owner.Params) { p.RunTimeWeight = 0 }},
+	{"startup grace", func(p *owner.Params) { p.StartupGrace = 0 }},
 }
 
-// ways are other figures for decisions that matter; the first ones are those in use.
+// alternatives are other values of the parameters that matter most. The first one has the values in
+// use.
 var alternatives = []variant{
-	{"as it is", func(*owner.Params) {}},
-	{"aim share .65", func(p *owner.Params) { p.ObjectiveShare = 0.65 }},
-	{"aim share .85", func(p *owner.Params) { p.ObjectiveShare = 0.85 }},
-	{"priority share .9", func(p *owner.Params) { p.PriorityFactor = 0.9 }},
-	{"priority share 1", func(p *owner.Params) { p.PriorityFactor = 1 }},
-	{"late answers refused", func(p *owner.Params) { p.LateFactor = 0 }},
-	{"callers' estimates", func(p *owner.Params) { p.RunTimeWeight = 0 }},
-	{"pooled wait 1.4", func(p *owner.Params) { p.PooledWaitFactor = 1.4 }},
-	{"bound within 12 ms", func(p *owner.Params) { p.MaxPlacementWait = 12 * time.Millisecond }},
-	{"bound within 50 ms", func(p *owner.Params) { p.MaxPlacementWait = 50 * time.Millisecond }},
+	{"default", func(*owner.Params) {}},
+	{"objective share .65", func(p *owner.Params) { p.ObjectiveShare = 0.65 }},
+	{"objective share .85", func(p *owner.Params) { p.ObjectiveShare = 0.85 }},
+	{"priority factor .9", func(p *owner.Params) { p.PriorityFactor = 0.9 }},
+	{"priority factor 1", func(p *owner.Params) { p.PriorityFactor = 1 }},
+	{"late jobs refused", func(p *owner.Params) { p.LateFactor = 0 }},
+	{"clients' estimates", func(p *owner.Params) { p.RunTimeWeight = 0 }},
+	{"pooled wait factor 1.4", func(p *owner.Params) { p.PooledWaitFactor = 1.4 }},
+	{"placement wait 12 ms", func(p *owner.Params) { p.MaxPlacementWait = 12 * time.Millisecond }},
+	{"placement wait 50 ms", func(p *owner.Params) { p.MaxPlacementWait = 50 * time.Millisecond }},
 }
 
-// days are the loads and faults of the table.
+// scenarios are the loads and faults of the tables.
 var scenarios = []struct {
 	name string
 	setup
@@ -78,11 +79,11 @@
 	printTable(mechanisms)
 }
 
-// The table of other ways for decisions that matter, printed by
+// TestWays prints the same table for other values of the parameters:
 //
 //	go test ./coordination/load -run TestWays -v -load.ways
 
-var alternativesTable = flag.Bool("load.ways", false, "play each day with each other way, and print what was served")
+var alternativesTable = flag.Bool("load.ways", false, "run each scenario with each alternative value of a parameter, and print the share of the value served")
 
 func TestWays(t *testing.T) {
 	if !*alternativesTable {
@@ -91,7 +92,7 @@
 	printTable(alternatives)
 }
 
-// variant is a change of the figures in use.
+// variant is a change of the parameters in use.
 type variant struct {
 	name  string
 	apply func(*owner.Params)
@@ -127,8 +128,8 @@
 	}
 }
 
-// cell is the mean share of the worth served over the seeds, half the distance between
-// the best and the worst, and the share of the jobs that was not served at all.
+// tableCell returns the mean share of the value served over the seeds, half the difference between
+// the best and the worst seed, and the share of the jobs that were not served at all.
 func tableCell(s setup, mix []class, share float64, fault func(*world)) string {
 	var served []float64
 	var asked, lost int
--- a/coordination/load/crash_test.go
+++ b/coordination/load/crash_test.go
@@ -13,19 +13,20 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// The table of what becomes of tasks that crash their backend servers, and of those beside
-// them, printed by
+// TestCrashPolicies prints a table of what policies against tasks that crash their backend servers
+// cost the other jobs:
 //
 //	go test ./coordination/load -run TestCrashPolicies -v -load.crashes
 
-var crashTable = flag.Bool("load.crashes", false, "play tasks that crash their servers under each policy, and print what became of the others")
+var crashTable = flag.Bool("load.crashes", false, "run tasks that crash their servers under each policy, and print the outcomes of the other jobs")
 
 const (
-	// crashDelay is how long after its start a task crashes its server.
+	// crashDelay is how long after its start a task crashes its backend server.
 	crashDelay = 20 * time.Millisecond
-	// crashAway is how long a crashed server is away.
+	// crashDowntime is how long a crashed backend server is down.
 	crashDowntime = 3 * time.Second
-	// patientLimit is how long clients wait whose jobs are judged by what becomes of them.
+	// patientTimeout is how long clients wait in the tests of tasks that crash backend servers:
+	// long enough for the jobs to be retried.
 	patientTimeout = 30 * time.Second
 )
 
@@ -42,7 +43,7 @@
 	return true
 }
 
-// crashedBy has a run crash the backend server of that life, if it is still there.
+// crashedBy makes a run crash the given instance of the backend server, if both are still there.
 func (a *agent) crashedBy(run job.RunID, instance int) {
 	if a.serverDown || a.serverInstance != instance || !a.running[run] {
 		return
@@ -56,7 +57,7 @@
 	a.crash(crashDowntime)
 }
 
-// sabotage has jobs come whose first task crashes its servers, so many a second.
+// submitCrashers submits jobs whose first task crashes its backend servers, and returns how many.
 func (w *world) submitCrashers(c *class, jobsPerSecond float64, length time.Duration) (count int) {
 	for at := time.Duration(0); jobsPerSecond > 0 && at < length; at += time.Duration(float64(time.Second) / jobsPerSecond) {
 		count++
@@ -69,12 +70,14 @@
 	return count
 }
 
-// crashDay is what a day with such tasks came to.
+// crashResult has the outcomes of load with tasks that crash their backend servers.
 type crashResult struct {
 	served float64
 	late   int
 	asked  int
-	// crashers is the number of the jobs that crash servers, lost that of the servers.
+	// crashers counts the jobs that crash servers, lost the servers that were lost, and givenUp the
+	// other jobs that were given up. most is the maximum number of starts of a task after it had
+	// crashed three servers.
 	crashers, lost, givenUp, most int
 }
 
@@ -101,14 +104,14 @@
 
 const crashLoadDuration = 4 * time.Second
 
-// crashPolicies are the ways to judge that were weighed.
+// crashPolicies are the policies that TestCrashPolicies compares. The last but one is in use.
 var crashPolicies = []struct {
 	name string
 	set  func(*owner.Params)
 }{
-	{"no judgement", func(p *owner.Params) { p.CrashesApart, p.CrashesAlone, p.MaxCrashes = 1000, 1000, 1000 }},
-	{"by count alone, two", func(p *owner.Params) { p.CrashesApart, p.CrashesAlone, p.MaxCrashes = 1000, 1000, 2 }},
-	{"by count alone, three", func(p *owner.Params) { p.CrashesApart, p.CrashesAlone, p.MaxCrashes = 1000, 1000, 3 }},
+	{"no limit", func(p *owner.Params) { p.CrashesApart, p.CrashesAlone, p.MaxCrashes = 1000, 1000, 1000 }},
+	{"given up after two", func(p *owner.Params) { p.CrashesApart, p.CrashesAlone, p.MaxCrashes = 1000, 1000, 2 }},
+	{"given up after three", func(p *owner.Params) { p.CrashesApart, p.CrashesAlone, p.MaxCrashes = 1000, 1000, 3 }},
 	{"apart from other suspects", func(p *owner.Params) { p.CrashesAlone = 1000 }},
 	{"apart, then alone", func(*owner.Params) {}},
 	{"alone at once", func(p *owner.Params) { p.CrashesAlone = 1 }},
@@ -151,7 +154,7 @@
 			baseline[r.share] = r
 		}
 	}
-	fmt.Println("| policy | load | crashers a second | served | servers lost each | others late each | others given up | starts after three |")
+	fmt.Println("| policy | load | crashers per second | served | servers lost per crasher | others late per crasher | others given up | starts after third loss |")
 	for _, r := range rows {
 		n := float64(max(r.crashers, 1))
 		late := float64(r.late) - float64(baseline[r.share].late)*float64(r.asked)/float64(baseline[r.share].asked)
@@ -159,9 +162,10 @@
 	}
 }
 
-// A task crashes each backend server that starts it, five of them come each second, and
-// each retry took the next server down with all that ran beside it until none was left.
-// Each of them costs three servers at most, and nobody beside them is given up.
+// TestTasksThatCrashServersCostFew guards against retries of a task that crashes each backend
+// server that starts it: every retry takes down another server with all its other runs until none
+// is left. Five such jobs come per second. Each may crash three servers at most, and no other job
+// may be given up.
 func TestTasksThatCrashServersCostFew(t *testing.T) {
 	is := is.New(t)
 	d := runCrashers(large, .7, 5, 1)
--- a/coordination/load/doc.go
+++ b/coordination/load/doc.go
@@ -1,4 +1,3 @@
-// Package load has no code of its own: its tests drive the machines of packages
-// owner and worker under the loads of busy days, in simulated time, and tell how
-// many jobs end in time.
+// Package load holds only tests. They run the state machines of packages owner and worker under
+// realistic load in simulated time, and check how many jobs end in time.
 package load
--- a/coordination/load/drain_test.go
+++ b/coordination/load/drain_test.go
@@ -10,18 +10,18 @@
 	"github.com/shallotstep/shallotstep/coordination/drains"
 )
 
-// thirds has the agents stand in three failure domains of one size.
+// assignThirds divides the agents into three failure domains of equal size.
 func (w *world) assignThirds() {
 	for i, a := range w.agents {
 		a.domain = fmt.Sprintf("third-%d", 3*i/len(w.agents))
 	}
 }
 
-// newsOfDrain is how long an entry takes to read a drain; its agents hear with the next frame.
+// drainReadDelay is how long an entry takes to read a drain. The agents get it with the next frame.
 const drainReadDelay = 10 * time.Millisecond
 
-// drain says which failure domains are drained. With told unset the entries don't know, and
-// the agents alone refuse and say so.
+// drain sets the drained failure domains. If tellEntries is not set, only the agents get the drain;
+// they refuse orders and report the drain in their loads.
 func (w *world) drain(tellEntries bool, domains ...string) {
 	w.drains = drains.State{Position: w.drains.Position + 1, Domains: domains}
 	state := w.drains
@@ -40,11 +40,11 @@
 	})
 }
 
-// coldLasts is how long a server that comes back is cold.
+// coldDuration is how long a backend server is cold after its return.
 const coldDuration = 2 * time.Second
 
-// chill has tasks on the servers of a domain take so many times as long for a while. The
-// servers may say so.
+// makeCold multiplies the duration of tasks on the backend servers of a domain by a factor for
+// coldDuration. If reported is set, the servers report that they are cold.
 func (w *world) makeCold(domain string, factor float64, reported bool) {
 	for _, a := range w.agents {
 		if a.domain != domain {
@@ -62,22 +62,23 @@
 	}
 }
 
-// drained is a day on which a third of the room is gone for 3 s.
+// drainScenario is a load during which a third of the capacity is drained for 3 s.
 type drainScenario struct {
 	setup
 	share float64
-	// untold entries are not told of the drain; only their agents know.
+	// entriesUntold is set if only the agents get the drain.
 	entriesUntold bool
-	// cold is how many times as long tasks take at first when the room is back, and hidden
-	// that the servers don't say so.
+	// coldFactor is how many times as long tasks take at first when the drain has ended.
+	// coldUnreported is set if the servers don't report that they are cold.
 	coldFactor     float64
 	coldUnreported bool
 }
 
-// settles is how long after a change what has begun before it is left out.
+// settleTime is how long after a change outcomes are not counted, because most jobs that end then
+// were submitted before the change.
 const settleTime = 700 * time.Millisecond
 
-// play returns the mean share of the worth that is served while the room is gone, and after.
+// run returns the mean share of the value that is served during the drain, and after it.
 func (d drainScenario) run(mix []class) (during, after float64) {
 	for d.seed = range uint64(drainSeeds) {
 		w := newWorld(d.setup)
@@ -100,8 +101,8 @@
 	return during, after
 }
 
-// withoutThird is the share of the worth that a fleet serves which has been without a third
-// of its room from the start.
+// withoutThird returns the mean share of the value that is served if a third of the capacity is
+// drained from the start.
 func withoutThird(s setup, mix []class, share float64) float64 {
 	var served float64
 	for s.seed = range uint64(drainSeeds) {
@@ -119,8 +120,8 @@
 
 const drainSeeds = 2
 
-// drainFleet is the fleet on which drains are judged, and the loads; a small one is enough
-// for races.
+// drainFleet returns the fleet and the loads with which drains are tested. A small fleet is enough
+// to find data races.
 func drainFleet() (setup, []float64) {
 	if checkBounds {
 		return large, []float64{.7, .9}
@@ -128,8 +129,8 @@
 	return small, []float64{.7}
 }
 
-// Guards against a drain that costs callers more than the room that is gone: a third of the
-// workers is drained for three seconds.
+// TestDrainCostsTheRoomThatIsGone guards against a drain that costs clients more than the capacity
+// that is drained. A third of the workers is drained for three seconds.
 func TestDrainCostsTheRoomThatIsGone(t *testing.T) {
 	is := is.New(t)
 	fleet, loads := drainFleet()
@@ -137,13 +138,13 @@
 		during, after := drainScenario{setup: fleet, share: share}.run(grownMix)
 		untold, untoldAfter := drainScenario{setup: fleet, share: share, entriesUntold: true}.run(grownMix)
 		steady := withoutThird(fleet, grownMix, share)
-		t.Logf("load %.1f: during %.3f (entries untold %.3f, without the third from the start %.3f), after %.3f (untold %.3f)", share, during, untold, steady, after, untoldAfter)
+		t.Logf("load %.1f: during %.3f (entries not told %.3f, drained from the start %.3f), after %.3f (entries not told %.3f)", share, during, untold, steady, after, untoldAfter)
 		is.True(!checkBounds || during > steady-0.03)
 	}
 }
 
-// Guards against servers that come back cold all at once, are given their full part of the
-// work and make all of it late.
+// TestDomainThatComesBackColdIsNotOverrun guards against overload of backend servers that return
+// cold all at once: if they get their full part of the work, all of it is late.
 func TestDomainThatComesBackColdIsNotOverrun(t *testing.T) {
 	is := is.New(t)
 	fleet, loads := drainFleet()
@@ -151,13 +152,14 @@
 		for _, cold := range []float64{2, 3} {
 			_, reported := drainScenario{setup: fleet, share: share, coldFactor: cold}.run(grownMix)
 			_, unreported := drainScenario{setup: fleet, share: share, coldFactor: cold, coldUnreported: true}.run(grownMix)
-			t.Logf("load %.1f, %.1f times as long: after %.3f (if servers don't say so %.3f)", share, cold, reported, unreported)
+			t.Logf("load %.1f, %.1f times as long: after %.3f (if servers don't report it %.3f)", share, cold, reported, unreported)
 			is.True(!checkBounds || share > 0.8 || reported > unreported)
 		}
 	}
 }
 
-// Guards against starts in a drained domain under load, whoever knows of the drain.
+// TestNothingStartsInADrainedThird guards against starts in a drained domain under load, whether or
+// not the entries know of the drain.
 func TestNothingStartsInADrainedThird(t *testing.T) {
 	is := is.New(t)
 	for _, told := range []bool{true, false} {
--- a/coordination/load/faults_test.go
+++ b/coordination/load/faults_test.go
@@ -6,16 +6,16 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// faultLasts is how long most faults last.
+// faultDuration is how long most faults last.
 const faultDuration = 1500 * time.Millisecond
 
-// burst has more of the most urgent class come, times times as much, for a time.
+// burst multiplies the rate of jobs by a factor for a time.
 func (w *world) burst(factor float64, length time.Duration) {
 	w.burstFactor = factor
 	w.after(length, func() { w.burstFactor = 1 })
 }
 
-// slow has some backend servers take longer.
+// slow multiplies the duration of tasks on the first count backend servers by a factor.
 func (w *world) slow(count int, factor float64) {
 	for _, a := range w.agents[:count] {
 		a.durationFactor = factor
@@ -23,8 +23,8 @@
 	}
 }
 
-// hang has tasks on some backend servers stand still: what is started there does not
-// end until the fault is over.
+// hang makes tasks hang on the first count backend servers: tasks started there don't end until the
+// fault is over.
 func (w *world) hang(count int) {
 	for _, a := range w.agents[:count] {
 		a.tasksHang = true
@@ -37,15 +37,15 @@
 	}
 }
 
-// crash ends some backend servers with all that runs there, and brings empty ones.
+// crash crashes the first count backend servers for half a second.
 func (w *world) crash(count int) {
 	for _, a := range w.agents[:count] {
 		a.crash(500 * time.Millisecond)
 	}
 }
 
-// crash ends an agent's backend server with all that runs there, and brings an empty one
-// in its place.
+// crash ends the instance of an agent's backend server with all its runs, and starts another one
+// after downtime.
 func (a *agent) crash(downtime time.Duration) {
 	if a.serverDown {
 		return
@@ -60,7 +60,7 @@
 	})
 }
 
-// deaf delays the news that some agents tell of their load.
+// delayUpdates delays the loads and events that the first count agents send.
 func (w *world) delayUpdates(count int) {
 	for _, a := range w.agents[:count] {
 		a.slowUpdates = true
@@ -68,9 +68,8 @@
 	}
 }
 
-// restart ends all entries and agents, and starts them again half a second later. The
-// backend servers go on until their leases end. Clients whose jobs were cut off send
-// them again.
+// restart stops all entries and agents, and starts them again half a second later. The backend
+// servers go on until their leases expire. Clients whose connections were lost resend their jobs.
 func (w *world) restart() {
 	for _, e := range w.entries {
 		e.down = true
@@ -91,11 +90,11 @@
 
 const (
 	restartDuration = 500 * time.Millisecond
-	// resendAfter is the clients' pause after they were cut off.
+	// resendDelay is how long clients wait before they resend a job after a lost connection.
 	resendDelay = 1300 * time.Millisecond
 )
 
-// resend has clients whose tries were cut off come again.
+// resendCutOff resends the jobs whose clients lost their connection in a restart.
 func (w *world) resendCutOff() {
 	for _, r := range w.jobs {
 		if r.ended || r.entry == nil {
--- a/coordination/load/load_test.go
+++ b/coordination/load/load_test.go
@@ -9,17 +9,17 @@
 	"github.com/shallotstep/shallotstep/coordination/owner"
 )
 
-// spreadCost is that of the agents.
+// pausePerPlacer has the value that agents use in production.
 const pausePerPlacer = 14 * time.Millisecond
 
-// Sizes of the users' sites.
+// small and large have the sizes of a small and a large site.
 var (
 	small = setup{entries: 3, agents: 11, pausePerPlacer: pausePerPlacer, params: owner.DefaultParams()}
 	large = setup{entries: 8, agents: 51, pausePerPlacer: pausePerPlacer, params: owner.DefaultParams(), links: linksPerEntry}
 )
 
-// day plays a mix at a share of what the agents carry, with some seeds, and returns
-// the share of the worth that was served and what became of each class.
+// runPerClass runs a mix at a share of the agents' capacity with each seed. It returns the mean
+// share of the value that was served, and the outcomes of each class.
 func runPerClass(s setup, mix []class, share float64) (float64, map[string]tally) {
 	var served float64
 	sum := make(map[string]tally)
@@ -36,8 +36,8 @@
 	return served, sum
 }
 
-// Usual days leave a tenth of the room or more. Next to nothing may be refused or
-// late then, whatever care is taken for the heavy ones.
+// TestUsualDay guards against jobs that are refused or late although a tenth of the capacity or
+// more is free. Measures against overload must not cost anything at normal load.
 func TestUsualDay(t *testing.T) {
 	is := is.New(t)
 	for _, d := range []struct {
@@ -50,27 +50,28 @@
 	}
 }
 
-// More work comes than the agents carry, through eight entries that each see only
-// their own orders until the agents' next news. Each promises the same room: a tenth
-// of the short jobs came so late that they were of no use, and their work was wasted.
+// TestManyEntriesDoNotPromiseTheSameRoom guards against entries that count on the same free
+// capacity under overload. Each of the eight entries sees only its own orders until the agents'
+// next load updates. If all of them use the same capacity for their predictions, a tenth of the
+// short jobs end too late to be of use, and their work is wasted.
 func TestManyEntriesDoNotPromiseTheSameRoom(t *testing.T) {
 	is := is.New(t)
 	served, sum := runPerClass(large, grownMix, 1.15)
 	t.Logf("load 1.15: served %.3f, %+v", served, sum)
-	is.True(!checkBounds || served > 0.8) // 0.77 before
+	is.True(!checkBounds || served > 0.8) // 0.77 with the fault
 	for _, c := range sum {
-		is.True(!checkBounds || float64(c.tooLate) < 0.01*float64(c.asked)) // 0.10 of the short ones before
+		is.True(!checkBounds || float64(c.tooLate) < 0.01*float64(c.asked)) // 0.10 of the short jobs with the fault
 	}
 }
 
-// The same day: the queues settled at the wait that the largest class bears, and the
-// most urgent jobs, which are the shortest, found no room in time. The operators' word
-// is that they come first.
+// TestUrgentJobsFindRoomUnderOverload guards against queues that, under overload, settle at the
+// wait that the largest class tolerates. The most urgent jobs are the shortest, and would then find
+// no capacity in time although their priority puts them first.
 func TestUrgentJobsFindRoomUnderOverload(t *testing.T) {
 	is := is.New(t)
 	_, sum := runPerClass(large, grownMix, 1.15)
 	t.Logf("load 1.15: %+v", sum)
-	is.True(!checkBounds || sum["short"].inTimeShare() > 0.77) // 0.66 before
+	is.True(!checkBounds || sum["short"].inTimeShare() > 0.77) // 0.66 with the fault
 	is.True(!checkBounds || sum["usual"].inTimeShare() > 0.75)
 	is.True(!checkBounds || sum["long"].inTimeShare() > 0.75)
 }
--- a/coordination/load/mix_test.go
+++ b/coordination/load/mix_test.go
@@ -10,7 +10,7 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// class is a kind of request: all its jobs have one step.
+// class describes the jobs of one queue, which all have one step.
 type class struct {
 	queue         string
 	jobsPerSecond float64
@@ -21,38 +21,38 @@
 	priority      int
 }
 
-// grown is the mix of the users' grown sites, of 922 jobs a second on 59 agents,
-// for one agent.
+// grownMix is the mix of a site that has grown to 922 jobs per second on 59 agents. The rates of
+// this and the other mixes are for one agent.
 var grownMix = []class{
 	{queue: "short", jobsPerSecond: 223. / 55, meanTasks: 8, meanWork: 60 * time.Millisecond, cpuMillis: 1300, value: 0.00485},
 	{queue: "long", jobsPerSecond: 50.7 / 55, meanTasks: 4, meanWork: 900 * time.Millisecond, cpuMillis: 1300, value: 0.0267, priority: 2},
 	{queue: "usual", jobsPerSecond: 648. / 55, meanTasks: 2, meanWork: 200 * time.Millisecond, cpuMillis: 1300, value: 0.00167, priority: 1},
 }
 
-// shifted is the mix of a site whose work has changed to longer jobs, of 717 jobs a second on
-// 51 agents.
+// shiftedMix is the mix of a site whose work has shifted to longer jobs: 717 jobs per second on 51
+// agents.
 var shiftedMix = []class{
 	{queue: "short", jobsPerSecond: 166. / 51, meanTasks: 8, meanWork: 60 * time.Millisecond, cpuMillis: 1200, value: 0.00485},
 	{queue: "long", jobsPerSecond: 65.8 / 51, meanTasks: 4, meanWork: 900 * time.Millisecond, cpuMillis: 1200, value: 0.0267, priority: 2},
 	{queue: "usual", jobsPerSecond: 485. / 51, meanTasks: 2, meanWork: 200 * time.Millisecond, cpuMillis: 1200, value: 0.00167, priority: 1},
 }
 
-// wide is the mix of the users' sites with larger tasks, of which ten fill a worker, of
-// 140 jobs a second on 11 agents.
+// wideMix is the mix of sites with larger tasks, of which ten fill a worker: 140 jobs per second on
+// 11 agents.
 var wideMix = []class{
 	{queue: "short", jobsPerSecond: 34.4 / 11, meanTasks: 8, meanWork: 60 * time.Millisecond, cpuMillis: 1550, value: 0.0291},
 	{queue: "long", jobsPerSecond: 6.25 / 11, meanTasks: 4, meanWork: 900 * time.Millisecond, cpuMillis: 1550, value: 0.16, priority: 2},
 	{queue: "usual", jobsPerSecond: 100. / 11, meanTasks: 2, meanWork: 200 * time.Millisecond, cpuMillis: 1550, value: 0.01, priority: 1},
 }
 
-// halls is the mix of the users' large site, of 1,385 jobs a second on 160 agents.
+// largeSiteMix is the mix of a large site: 1,385 jobs per second on 160 agents.
 var largeSiteMix = []class{
 	{queue: "short", jobsPerSecond: 334. / 160, meanTasks: 8, meanWork: 60 * time.Millisecond, cpuMillis: 2500, value: 0.00323},
 	{queue: "long", jobsPerSecond: 75.8 / 160, meanTasks: 4, meanWork: 900 * time.Millisecond, cpuMillis: 2500, value: 0.0178, priority: 2},
 	{queue: "usual", jobsPerSecond: 972. / 160, meanTasks: 2, meanWork: 200 * time.Millisecond, cpuMillis: 2500, value: 0.00111, priority: 1},
 }
 
-// coresPerAgent is what these jobs keep at work on each agent.
+// coresPerAgent returns the mean number of cores that a mix occupies on each agent.
 func coresPerAgent(mix []class) float64 {
 	var cores float64
 	for _, c := range mix {
@@ -69,21 +69,23 @@
 	submittedAt time.Duration
 	taskWork    []time.Duration
 	objective   time.Duration
-	// entry has taken the last try; ended is set once the client has an answer, or
-	// waits no more.
+	// entry got the last submission. ended is set once the client has a response or has stopped
+	// waiting.
 	entry *entry
 	ended bool
-	// patient clients wait for as long as a recorded job does.
+	// patient makes the client wait for patientTimeout.
 	patient bool
-	// crashes is set where the job's first task crashes each backend server that starts
-	// it, and starts and lost count its starts and the servers lost under it.
+	// crashes is set if the job's first task crashes each backend server that starts it. starts and
+	// lost count the starts of that task and the servers it has crashed.
 	crashes      bool
 	starts, lost int
-	// third is the number of starts when the third server was lost.
+	// startsAtThirdLoss is the number of starts when the third server was lost.
 	startsAtThirdLoss int
 }
 
-// tally counts what became of a class's jobs.
+// tally counts the outcomes of jobs: asked is their total, inAim counts those that ended within
+// their objective, late those that ended after it but were still of use, and tooLate those that
+// ended too late to be of use or failed.
 type tally struct{ asked, inAim, late, refused, tooLate int }
 
 const (
@@ -98,7 +100,8 @@
 	maxOverMean     = 4
 )
 
-// around draws a figure about a mean, log-normal and bounded.
+// logNormal draws from a log-normal distribution with a mean, bounded by maxOverMean times the
+// mean.
 func (w *world) logNormal(mean, spread float64) float64 {
 	x := mean * math.Exp(spread*w.rand.NormFloat64()-spread*spread/2)
 	return min(x, maxOverMean*mean)
@@ -108,10 +111,10 @@
 	return w.jobs[run.Task.Job].taskWork[run.Task.Index]
 }
 
-// arrive draws a job and sends it to an entry.
+// arrive draws a job of a class and submits it.
 func (w *world) arrive(c *class) { w.submit(w.draw(c)) }
 
-// draw returns a job.
+// draw returns a random job of a class.
 func (w *world) draw(c *class) *request {
 	mean := w.logNormal(float64(c.meanWork), workSpread)
 	n := max(1, int(math.Round(w.logNormal(c.meanTasks, taskCountSpread))))
@@ -126,7 +129,8 @@
 	return r
 }
 
-// submit sends a job to an entry.
+// submit sends a job to an entry. If there is no response within the job's timeout, the client
+// abandons the job.
 func (w *world) submit(r *request) {
 	w.jobs[r.id] = r
 	w.send(r)
@@ -141,7 +145,8 @@
 	})
 }
 
-// limit is how long the client waits in all; it names what is left with each try.
+// timeout returns how long the client waits in total. Each submission carries the time that is
+// left.
 func (r *request) timeout() time.Duration {
 	if r.patient {
 		return patientTimeout
@@ -149,11 +154,13 @@
 	return minTimeout + lateFactor*r.objective
 }
 
-// busyShare is what the first entry gets beyond its part where the traffic is uneven: about
-// three times as much as each of seven others.
+// busyShare is the share of the jobs that uneven traffic sends to the first entry beyond its even
+// part. With seven other entries, the first one gets about three times as many jobs as each of
+// them.
 const busyShare = 0.16
 
-// send makes a try at a random entry. One that is down takes no connection.
+// send submits a job to a random entry. If that entry is down, the job is sent again after
+// resendDelay.
 func (w *world) send(r *request) {
 	left := r.submittedAt + r.timeout() - w.now
 	if r.ended || left <= 0 {
@@ -179,10 +186,11 @@
 	}))
 }
 
+// record counts the outcome of a job.
 func (w *world) record(r *request, v owner.Response) {
 	if r.crashes {
 		r.ended = true
-		return // it can't be done
+		return // jobs that crash their servers can't complete and are not counted
 	}
 	if v.Outcome == owner.OK && v.State == job.Failed {
 		w.wronglyGivenUp++
@@ -213,7 +221,7 @@
 	}
 }
 
-// play sends a mix at a share of what the agents carry, for a time.
+// run submits the jobs of a mix at a share of the agents' capacity for a time.
 func (w *world) run(mix []class, share float64, length time.Duration) {
 	var totalCores float64
 	for i := range w.agents {
@@ -239,7 +247,8 @@
 	w.runUntil(end)
 }
 
-// served is the share of the worth that was served, late answers at a fifth.
+// servedValue returns the share of the value of all jobs that was served. Late responses count a
+// fifth.
 func (w *world) servedValue(mix []class) float64 {
 	var gained, possible float64
 	for _, c := range mix {
@@ -257,5 +266,5 @@
 	return tally{t.asked + o.asked, t.inAim + o.inAim, t.late + o.late, t.refused + o.refused, t.tooLate + o.tooLate}
 }
 
-// share is the part that ended in time.
+// inTimeShare returns the share of the jobs that ended within their objective.
 func (t tally) inTimeShare() float64 { return float64(t.inAim) / float64(t.asked) }
--- a/coordination/load/race_on_test.go
+++ b/coordination/load/race_on_test.go
@@ -2,8 +2,9 @@
 
 package load
 
-// The race detector makes days ten times as long. With it one is played for races
-// alone: a single day says too little for the bounds, which the run without it checks.
+// With the race detector a simulated day takes ten times as long. One day is then run to find data
+// races only: a single day is too little to check the bounds, which is done without the race
+// detector.
 const (
 	seeds       = 1
 	checkBounds = false
--- a/coordination/load/size_test.go
+++ b/coordination/load/size_test.go
@@ -12,25 +12,26 @@
 	"github.com/shallotstep/shallotstep/coordination/owner"
 )
 
-// The table of what size and subsets do to the decisions, printed by
+// TestSizes prints a table of the outcomes by the size of the fleet and of the entries' subsets:
 //
 //	go test ./coordination/load -run TestSizes -v -load.sizes
 
-var sizes = flag.Bool("load.sizes", false, "play the large mix at many sizes of the fleet and of the subsets, and print what was served")
+var sizes = flag.Bool("load.sizes", false, "run the mix of a large site with many sizes of the fleet and of the subsets, and print the outcomes")
 
-// linksPerEntry is the default of the settings.
+// linksPerEntry is the default of the setting "links".
 const linksPerEntry = 32
 
-// fleet is a size of the large site's kind.
+// fleet returns a setup of the given size with default parameters.
 func fleet(entries, agents, links int) setup {
 	return setup{entries: entries, agents: agents, pausePerPlacer: pausePerPlacer, params: owner.DefaultParams(), links: links}
 }
 
-// played is what became of the jobs of some days of one kind.
+// outcomeShares has the share of the value that was served, and the outcomes as shares of all jobs.
 type outcomeShares struct {
 	served, inTime, late, refused, tooLate float64
 }
 
+// runShares runs a mix at a share of the agents' capacity, days times with different seeds.
 func (s setup) runShares(mix []class, share float64, days int) outcomeShares {
 	var sum tally
 	var out outcomeShares
@@ -91,15 +92,16 @@
 	for i, r := range rows {
 		how := ""
 		if r.fallbackBuckets {
-			how = ", drawn"
+			how = ", fallback buckets"
 		}
 		fmt.Printf("| %.2f | %d x %d | %d%s | %v |\n", r.share, r.entries, r.agents, r.linksOrAll(), how, out[i])
 	}
 }
 
-// Thirty-five entries that each link all agents promise the same room many times over:
-// a third of the jobs came late at 90 % of load, where five entries had one in thirty
-// late. With links to a subset the share in time is that of a few entries, at any size.
+// TestShareInTimeDoesNotFallWithSize guards against many entries that count on the same free
+// capacity. If 35 entries each link all agents, a third of the jobs are late at 90 % load; with
+// five entries it is one in thirty. With links to a subset of the agents, the share in time has to
+// be that of five entries at any size.
 func TestShareInTimeDoesNotFallWithSize(t *testing.T) {
 	is := is.New(t)
 	few := fleet(5, 51, linksPerEntry).runShares(largeSiteMix, .9, sizeSeeds)
@@ -110,5 +112,5 @@
 	}
 }
 
-// sizeDays is how many days a size is judged by.
+// sizeSeeds is the number of simulated days behind the figures of a size.
 const sizeSeeds = 2
--- a/coordination/load/uneven_test.go
+++ b/coordination/load/uneven_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// unevenDay plays a day on which one entry has three times the traffic of the others, and
-// returns the share of its jobs in time, that of all, and the share of the worth.
+// runUneven runs a load with which one entry has three times the traffic of each other. It returns
+// the share of its jobs that ended in time, that of all jobs, and the share of the value served.
 func runUneven(share float64, hideTotalOrders bool) (busy, all, served float64) {
 	s := large
 	var busyEntry, total tally
@@ -27,23 +27,24 @@
 	return busyEntry.inTimeShare(), total.inTimeShare(), served
 }
 
-// unevenDays is how many days a load is judged by.
+// unevenSeeds is the number of simulated days behind the figures of a load.
 const unevenSeeds = seeds
 
-// One failure domain has a single entry, with three times the traffic of each other. It took
-// each of its own orders for as many as those of eight equals, saw full workers, and had
-// fewer of its clients served in time than the others of theirs. On usual days it serves as
-// well as they do; where there is no room left it still has more than by their number.
+// TestBusyEntryServesAsWellAsTheOthers guards against an entry that overestimates the orders of the
+// others. The only entry of a failure domain has three times the traffic of each other entry. If it
+// assumes that the seven others send as many orders as it does, it sees full workers and serves a
+// smaller share of its clients in time. At normal load it must serve the same share as the others;
+// without free capacity, more than if it estimated the others' orders by the number of entries.
 func TestBusyEntryServesAsWellAsTheOthers(t *testing.T) {
 	is := is.New(t)
 	loads := []float64{.9, 1.0}
 	if !checkBounds {
-		loads = loads[:1] // it is played for races alone
+		loads = loads[:1] // one load is enough to find data races
 	}
 	for _, share := range loads {
 		busyBefore, allBefore, servedBefore := runUneven(share, true)
 		busy, all, served := runUneven(share, false)
-		t.Logf("load %.2f: by number: busy %.3f all %.3f served %.3f; by orders: busy %.3f all %.3f served %.3f",
+		t.Logf("load %.2f: orders estimated by number of entries: busy %.3f all %.3f served %.3f; by total orders: busy %.3f all %.3f served %.3f",
 			share, busyBefore, allBefore, servedBefore, busy, all, served)
 		is.True(!checkBounds || share > 0.95 || busy > all-0.01)
 		is.True(!checkBounds || share != 1 || busy > busyBefore)
--- a/coordination/load/world_test.go
+++ b/coordination/load/world_test.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	// hop is a frame's way, with what both processes need to handle it.
+	// frameDelay is how long a frame takes between two processes, including its handling in both.
 	frameDelay = 3 * time.Millisecond
-	// call is a call of an agent to the backend server beside it.
+	// callDelay is how long a call of an agent to its backend server takes.
 	callDelay = 2 * time.Millisecond
-	// beat is the pace of frames on quiet links, tick that of the machines.
+	// heartbeatInterval is the interval between frames on idle links, and tickInterval that between
+	// calls of Tick.
 	heartbeatInterval, tickInterval = 150 * time.Millisecond, 50 * time.Millisecond
-	// holdEvery renews leases when nothing ends.
+	// holdInterval is the interval between holds, which renew the lease, when no run ends.
 	holdInterval = 60 * time.Millisecond
 	shards       = 16
 	domains      = 5
@@ -35,7 +36,8 @@
 	MaxWriteDelay: 700 * time.Millisecond,
 }
 
-// event is something that happens at a time.
+// event is a function that is called at a simulated time. Events at the same time are ordered by
+// seq.
 type event struct {
 	at  time.Duration
 	seq int
@@ -57,7 +59,7 @@
 	return last
 }
 
-// world is entries and agents with the frames between them.
+// world simulates entries, agents with their backend servers, clients, and the frames between them.
 type world struct {
 	now     time.Duration
 	rand    *rand.Rand
@@ -67,30 +69,31 @@
 	agents  []*agent
 	jobs    map[job.ID]*request
 	tallies map[string]*tally
-	// spreadCost is the agents' pause between news of their load, for each caller.
+	// pausePerPlacer is multiplied with the number of entries that place work at an agent. The
+	// result is the shortest time between two of the agent's load updates.
 	pausePerPlacer time.Duration
 	params         owner.Params
-	// times is how many times as many jobs come as usual.
+	// burstFactor is multiplied with the rate of jobs.
 	burstFactor float64
 	// subsets has the agents that each entry links.
 	subsets [][]*agent
-	// uneven sends a fifth of the jobs to the first entry, whatever their number.
+	// unevenTraffic sends busyShare of the jobs to the first entry, beyond its even part.
 	unevenTraffic bool
-	// busy counts what became of the first entry's jobs.
+	// busyEntry counts the outcomes of the first entry's jobs.
 	busyEntry tally
-	// uncounted has agents not tell how many orders they had from all.
+	// hideTotalOrders makes agents omit from their loads how many orders they got from all entries.
 	hideTotalOrders bool
-	// drains are those in force.
+	// drains are the drains in force.
 	drains drains.State
-	// patient clients wait for as long as a recorded job does.
+	// patient makes clients wait for patientTimeout.
 	patient bool
-	// lost counts the backend servers that tasks have crashed, givenUp the jobs that were
-	// shown as failed though they could be done, and most is the most starts of a task
-	// after three servers were lost under it.
+	// serversLost counts the backend servers that tasks have crashed, and wronglyGivenUp the jobs
+	// that were reported as failed although they crash no server. maxStartsAfterThird is the
+	// maximum number of starts of a task after it had crashed three servers.
 	serversLost, wronglyGivenUp, maxStartsAfterThird int
 }
 
-// setup is the size of a world.
+// setup has the size and the parameters of a world.
 type setup struct {
 	entries, agents int
 	pausePerPlacer  time.Duration
@@ -98,8 +101,8 @@
 	params          owner.Params
 	// links is how many agents each entry links; zero: all.
 	links int
-	// drawn has each entry hold the number that its name leads to, in place of the
-	// numbers that are dealt to it.
+	// fallbackBuckets gives each entry the bucket that its name hashes to instead of an even part
+	// of all buckets.
 	fallbackBuckets bool
 }
 
@@ -118,7 +121,7 @@
 	return w
 }
 
-// subsets chooses the agents that each entry links.
+// subsets returns the agents that each entry links.
 func (s *setup) subsets(agents []*agent) [][]*agent {
 	all := make([]subset.Agent, len(agents))
 	byName := make(map[string]*agent, len(agents))
@@ -154,7 +157,7 @@
 	heap.Push(&w.queue, event{at: w.now + d, seq: w.lastSeq, do: do})
 }
 
-// every repeats something, beginning at a random phase.
+// every calls do at an interval, starting at a random phase.
 func (w *world) every(interval time.Duration, do func()) {
 	var again func()
 	again = func() {
@@ -173,12 +176,12 @@
 	w.now = end
 }
 
-// entry runs best-effort jobs in a shard of its own.
+// entry simulates an entry, which runs best-effort jobs in a private shard.
 type entry struct {
 	*owner.Shard
 	w      *world
 	number int
-	// life counts the entry's starts; down is set while it is not running.
+	// incarnation counts the entry's starts. down is set while it is not running.
 	incarnation int
 	down        bool
 	fleet       *owner.Fleet
@@ -195,10 +198,10 @@
 	return e
 }
 
-// name is that of the entry's life.
+// name returns the owner name of the entry's present incarnation.
 func (e *entry) name() string { return fmt.Sprintf("entry-%d/%d", e.number, e.incarnation) }
 
-// begin starts a life of the entry: it links all agents that are there.
+// start starts an incarnation of the entry, which links the agents of its subset.
 func (e *entry) start() {
 	e.incarnation++
 	e.down = false
@@ -209,7 +212,7 @@
 	}
 }
 
-// livesOfEntries spaces the numbers of their shards.
+// shardsPerIncarnation is the distance between the shard numbers of two incarnations of an entry.
 const shardsPerIncarnation = 1000
 
 func (e *entry) link(a *agent, incarnation int) {
@@ -247,24 +250,25 @@
 	}
 }
 
-// caller is what an agent knows of an entry.
+// entryLink is an agent's state of its link to an entry.
 type entryLink struct {
 	entry       *entry
 	incarnation int
 	ordersSeen  int64
+	// lastSent is the load level that was last sent to the entry, at lastSentAt.
 	lastSent    loadLevel
 	lastSentAt  time.Duration
 	lastOrderAt time.Duration
 }
 
-// level is the part of a load whose change is worth a frame.
+// loadLevel is the part of a load whose changes are sent before the next heartbeat.
 type loadLevel struct {
 	free    job.Demand
 	waiting int
 	accepts bool
 }
 
-// agent is a worker's books and its backend server.
+// agent simulates an agent with its backend server.
 type agent struct {
 	*worker.Worker
 	w              *world
@@ -275,18 +279,21 @@
 	ends           []worker.ListedEnd
 	lastEndSeq     int64
 	holding        bool
-	// lives counts the instances of the backend server, life the agent's own starts.
+	// serverInstance numbers the instances of the backend server, and incarnation those of the
+	// agent.
 	serverInstance, incarnation int
-	// down is set while the agent is not running, and dark while its backend server is
-	// not. What is started while hangs is set stands still, and deaf delays its news.
+	// down is set while the agent is not running, and serverDown while its backend server is not.
+	// Tasks started while tasksHang is set don't end by themselves. slowUpdates delays the agent's
+	// loads and events by slowUpdateDelay.
 	down, serverDown, tasksHang, slowUpdates bool
-	// orders counts those of all entries.
+	// orders counts the orders from all entries.
 	orders   int64
 	capacity job.Demand
-	// cold is what the backend server says of its being so, and reports numbers its words.
+	// coldRemaining is how much longer the backend server reports to be cold, and lastReportSeq the
+	// number of its last report.
 	coldRemaining time.Duration
 	lastReportSeq int64
-	// domain is the failure domain, where that matters.
+	// domain is the failure domain; empty unless the test uses domains.
 	domain string
 }
 
@@ -318,7 +325,8 @@
 	return a
 }
 
-// begin starts a life of the agent, which knows whose orders the earlier one took.
+// start starts an incarnation of the agent, which knows the entries whose orders the earlier one
+// has accepted.
 func (a *agent) start() {
 	a.incarnation++
 	a.down = false
@@ -334,7 +342,7 @@
 	a.hold()
 }
 
-// report has the backend server say what it is.
+// report delivers a report of the backend server to the agent.
 func (a *agent) report() {
 	instance := fmt.Sprintf("i-%s-%d", a.name, a.serverInstance)
 	a.lastReportSeq++
@@ -363,7 +371,7 @@
 	}
 }
 
-// later does something after a call, if the agent still lives then.
+// afterCall calls do after callDelay, if the agent's incarnation is still running then.
 func (a *agent) afterCall(do func()) {
 	incarnation := a.incarnation
 	a.w.after(callDelay, func() {
@@ -417,7 +425,7 @@
 	a.hold()
 }
 
-// hold looks at the backend server, one call at a time.
+// hold sends a hold to the backend server, one call at a time.
 func (a *agent) hold() {
 	if a.holding || a.down {
 		return
@@ -452,7 +460,7 @@
 	})
 }
 
-// tell sends an entry a frame with the load, and the end of a run.
+// sendLoad sends an entry a frame with the agent's load and, if ev is not nil, an event.
 func (a *agent) sendLoad(c *entryLink, ev *worker.Event) {
 	l := a.Load(a.w.now)
 	c.lastSent, c.lastSentAt = loadLevelOf(&l), a.w.now
@@ -481,13 +489,15 @@
 	})
 }
 
-// deafDelay is that of news on a link whose other end is slow.
+// slowUpdateDelay is the delay of frames from an agent whose slowUpdates is set.
 const slowUpdateDelay = 60 * time.Millisecond
 
 func loadLevelOf(l *worker.Load) loadLevel {
 	return loadLevel{free: l.Free, waiting: l.Waiting, accepts: l.Accepts}
 }
 
+// sendChangedLoads sends the load to the entries that place work here, if its level has changed and
+// the pause since the last update has passed.
 func (a *agent) sendChangedLoads() {
 	l := a.Load(a.w.now)
 	placers := a.placers()
@@ -498,7 +508,7 @@
 	}
 }
 
-// placers returns the entries that place work here.
+// placers returns the links of the entries that sent an order within the last second.
 func (a *agent) placers() []*entryLink {
 	var out []*entryLink
 	for _, c := range a.links {
--- a/coordination/model/agent_test.go
+++ b/coordination/model/agent_test.go
@@ -86,16 +86,17 @@
 	do()
 }
 
-// stableAfter is how long an agent must have run before the limits on starts after crashes and drains
-// are checked. If an agent restarts at the time of a crash, no process has observed the crash.
+// stableAfter is how long an agent must have run before the limits on starts after crashes and
+// drains are checked. If an agent restarts at the time of a crash, no process has observed the
+// crash.
 const stableAfter = 4 * time.Second
 
 func (a *agentModel) stable() bool { return a.w.now-a.startedAt >= stableAfter }
 
 func (a *agentModel) freeze(d time.Duration) { a.frozenUntil = max(a.frozenUntil, a.w.now+d) }
 
-// ready reports whether the agent accepts a link from an owner. It must know the runs on its backend
-// server first.
+// ready reports whether the agent accepts a link from an owner. It must know the runs on its
+// backend server first.
 func (a *agentModel) ready(o *ownerModel) bool {
 	if a.w.now < a.partitionedUntil && a.reachableBy != o {
 		return false
--- a/coordination/model/drain_test.go
+++ b/coordination/model/drain_test.go
@@ -91,8 +91,8 @@
 	a.apply(a.worker.DrainDomain(a.w.now, a.drains.tracker.State().Has(a.name)))
 }
 
-// readDrainsIfStale reads the drains from the store if the agent's state is stale because its owners
-// can't reach the store.
+// readDrainsIfStale reads the drains from the store if the agent's state is stale because its
+// owners can't reach the store.
 func (a *agentModel) readDrainsIfStale() {
 	_, age := a.drains.tracker.Latest(a.w.now)
 	if age < staleDrainsAge || a.w.mutant == drainsNotRead {
--- a/coordination/model/owner_test.go
+++ b/coordination/model/owner_test.go
@@ -89,8 +89,8 @@
 
 func (o *ownerModel) freeze(d time.Duration) { o.frozenUntil = max(o.frozenUntil, o.w.now+d) }
 
-// loseOwnership is called when another owner takes over. The process notices it within renewLimit, or
-// when the store rejects a write of its epoch.
+// loseOwnership is called when another owner takes over. The process notices it within renewLimit,
+// or when the store rejects a write of its epoch.
 func (o *ownerModel) loseOwnership() {
 	if o.replaced || o.dead {
 		return
@@ -146,8 +146,8 @@
 	})
 }
 
-// cutLink ends the link to an agent and drops the messages in transit. The owner connects again after
-// the given time.
+// cutLink ends the link to an agent and drops the messages in transit. The owner connects again
+// after the given time.
 func (o *ownerModel) cutLink(a *agentModel, redialDelay time.Duration) {
 	l := o.links[a]
 	if l == nil {
@@ -245,8 +245,8 @@
 	}
 }
 
-// send sends a message over all links to an agent. The message is made now, with the owner's present
-// state, and delivered later.
+// send sends a message over all links to an agent. The message is made now, with the owner's
+// present state, and delivered later.
 func (o *ownerModel) send(node string, newMessage func(*link) func()) {
 	for a, l := range o.links {
 		if a.name == node && l.up {
@@ -268,8 +268,8 @@
 	o.append(b, false)
 }
 
-// append writes a batch to the store and repeats the call until its outcome is known. unknown is set
-// if an earlier call may have been carried out.
+// append writes a batch to the store and repeats the call until its outcome is known. unknown is
+// set if an earlier call may have been carried out.
 func (o *ownerModel) append(b owner.Batch, unknown bool) {
 	w := o.w
 	w.after(w.randUpTo(8*time.Millisecond), func() {
--- a/coordination/model/server_test.go
+++ b/coordination/model/server_test.go
@@ -34,8 +34,8 @@
 	lastEndSeq    int64
 	lastReportSeq int64
 
-	// capacity is the reported capacity. Until formerCPUUntil, starts are checked against formerCPU,
-	// the CPU reported before, since they may have been decided by it.
+	// capacity is the reported capacity. Until formerCPUUntil, starts are checked against
+	// formerCPU, the CPU reported before, since they may have been decided by it.
 	capacity       job.Demand
 	formerCPU      int64
 	formerCPUUntil time.Duration
@@ -262,9 +262,9 @@
 // 3 s at most, and its lease has expired before that.
 const crashReportTime = 4 * time.Second
 
-// countCrash counts a crash of a backend server against a task after crashReportTime, if agent, owner
-// and link were undisturbed until then. A crash is unknown to all processes if the agent fails at
-// the same time, or if agent and owner both fail before the owner has recorded it.
+// countCrash counts a crash of a backend server against a task after crashReportTime, if agent,
+// owner and link were undisturbed until then. A crash is unknown to all processes if the agent
+// fails at the same time, or if agent and owner both fail before the owner has recorded it.
 func (w *world) countCrash(task job.TaskID, a *agentModel) {
 	incarnation, o, l := a.incarnation, w.newestOwner(), a.ownerLink
 	w.after(crashReportTime, func() {
--- a/coordination/model/trace_test.go
+++ b/coordination/model/trace_test.go
@@ -10,8 +10,8 @@
 // many are.
 const maxTraceLines = 20_000
 
-// traceLine is one line of a world's trace. The state machines iterate over maps, so a seed does not
-// reproduce a run. The trace is kept to show what led to a violation.
+// traceLine is one line of a world's trace. The state machines iterate over maps, so a seed does
+// not reproduce a run. The trace is kept to show what led to a violation.
 type traceLine struct {
 	at   time.Duration
 	text string
@@ -24,8 +24,8 @@
 	}
 }
 
-// traceOf returns the most recent lines, at most most, that contain name or describe an event of the
-// whole world; these begin with "- ".
+// traceOf returns the most recent lines, at most limit, that contain name or describe an event of
+// the whole world; these begin with "- ".
 func (w *world) traceOf(name string, limit int) string {
 	var out []string
 	for i := len(w.traceLines) - 1; i >= 0 && len(out) < limit; i-- {
--- a/coordination/model/world_test.go
+++ b/coordination/model/world_test.go
@@ -179,8 +179,8 @@
 	return t
 }
 
-// markUnobserved marks the tasks whose last backend server is gone, together with the incarnation of
-// the agent that knew its runs.
+// markUnobserved marks the tasks whose last backend server is gone, together with the incarnation
+// of the agent that knew its runs.
 func (w *world) markUnobserved(gone func(*taskLedger) bool) {
 	for _, t := range w.ledger {
 		t.unobserved = t.unobserved || gone(t)
