--- a/soak/clients_test.go
+++ b/soak/clients_test.go
@@ -17,26 +17,26 @@
 	bestEffortPrefix = "e"
 	// resendAfter is the platform's pause before a job without an answer is sent
 	// again, tries how often that is done here.
-	resendAfter = 1300 * time.Millisecond
+	resendDelay = 1300 * time.Millisecond
 	maxTries    = 4
 	// clientPatience bounds one call: above the time limit that it names.
 	callTimeout = 4 * time.Second
-	timeLimit   = "2500"
+	timeLimitMS = "2500"
 )
 
 // request is a job as its client sees it.
 type request struct {
-	id         string
-	body       string
-	bestEffort bool
-	steps      []int
+	id           string
+	body         string
+	bestEffort   bool
+	tasksPerStep []int
 	// crashes is set where the job's tasks crash their backend servers.
 	crashesServers bool
 
 	// accepted is set by the first 2xx, refused while every answer so far was a
 	// refusal, cancelled once a cancellation was sent.
 	accepted, refused, cancelled bool
-	shown                        string
+	lastState                    string
 }
 
 // clients send jobs until they are stopped, and keep their connections.
@@ -82,7 +82,7 @@
 	var steps []string
 	for i := range 1 + random.IntN(2) {
 		count := 1 + random.IntN(4)
-		r.steps = append(r.steps, count)
+		r.tasksPerStep = append(r.tasksPerStep, count)
 		depends := ""
 		if i > 0 {
 			depends = `,"depends_on":[0]`
@@ -110,7 +110,7 @@
 			return
 		case 0, http.StatusBadGateway, http.StatusGatewayTimeout:
 			r.refused = false
-			time.Sleep(resendAfter)
+			time.Sleep(resendDelay)
 		default:
 			c.w.addViolation("%s: a submission was answered %d", r.id, status)
 			return
@@ -139,21 +139,21 @@
 		c.checkState(r, state)
 	case http.StatusGone:
 		c.w.addViolation("%s: accepted, and then said to be unknown", r.id)
-		r.shown = "unknown"
+		r.lastState = "unknown"
 	case http.StatusNotFound:
 		c.w.addViolation("%s: its queue was said to be unknown", r.id)
 	}
-	return final(r.shown)
+	return isFinal(r.lastState)
 }
 
-func final(state string) bool {
+func isFinal(state string) bool {
 	return state == "completed" || state == "failed" || state == "cancelled" || state == "unknown"
 }
 
 // see checks a state against what was shown before.
 func (c *clients) checkState(r *request, state string) {
-	if final(r.shown) && state != r.shown {
-		c.w.addViolation("%s: shown as %s, and then as %s", r.id, r.shown, state)
+	if isFinal(r.lastState) && state != r.lastState {
+		c.w.addViolation("%s: shown as %s, and then as %s", r.id, r.lastState, state)
 	}
 	c.w.mu.Lock()
 	failing := c.w.failing
@@ -167,7 +167,7 @@
 	if state == "cancelled" && !r.cancelled {
 		c.w.addViolation("%s: cancelled by nobody", r.id)
 	}
-	r.shown = state
+	r.lastState = state
 }
 
 // leastLost is how many servers have to be lost under a task before it may be given up.
@@ -175,14 +175,14 @@
 
 // call sends a request to some entry. The status is zero for no answer.
 func (c *clients) call(random *rand.Rand, method, id, body string) (int, string) {
-	front := c.w.clientAddrs[random.IntN(len(c.w.clientAddrs))]
-	req, err := http.NewRequest(method, "http://"+front+"/q/"+id, strings.NewReader(body))
+	addr := c.w.clientAddrs[random.IntN(len(c.w.clientAddrs))]
+	req, err := http.NewRequest(method, "http://"+addr+"/q/"+id, strings.NewReader(body))
 	if err != nil {
 		c.w.addViolation("%s: %v", id, err)
 		return 0, ""
 	}
 	req.Host = "desk.example"
-	req.Header.Set("Shallotstep-Deadline-Ms", timeLimit)
+	req.Header.Set("Shallotstep-Deadline-Ms", timeLimitMS)
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return 0, "" // no answer is one of the outcomes
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -11,158 +11,158 @@
 // trouble is one fault: it begins, lasts and ends. Several run at a time.
 type faultKind struct {
 	name   string
-	inject func(w *world, random *rand.Rand, last func(least, most int))
+	inject func(w *world, random *rand.Rand, wait func(least, most int))
 }
 
 func pick[T any](random *rand.Rand, from []T) T { return from[random.IntN(len(from))] }
 
 // troubles is all that may happen. last waits for some milliseconds within bounds.
 var faultKinds = []faultKind{
-	{"kill", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"kill", func(w *world, random *rand.Rand, wait func(int, int)) {
 		p := pick(random, w.processes())
 		p.kill()
-		last(50, 2500)
+		wait(50, 2500)
 		p.start()
 	}},
-	{"kill several", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"kill several", func(w *world, random *rand.Rand, wait func(int, int)) {
 		for _, p := range w.processes() {
 			if random.IntN(3) > 0 {
 				p.kill()
 			}
 		}
-		last(50, 1500)
+		wait(50, 1500)
 		for _, p := range w.processes() {
 			p.start()
 		}
 	}},
-	{"planned stop", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"planned stop", func(w *world, random *rand.Rand, wait func(int, int)) {
 		p := pick(random, w.processes())
 		p.signal(syscall.SIGTERM)
 		if !p.wait(10 * time.Second) {
 			p.kill() // it may be frozen by another trouble
 		}
-		last(0, 500)
+		wait(0, 500)
 		p.start()
 	}},
-	{"freeze", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"freeze", func(w *world, random *rand.Rand, wait func(int, int)) {
 		p := pick(random, w.processes())
 		p.signal(syscall.SIGSTOP)
-		last(100, 4000)
+		wait(100, 4000)
 		p.signal(syscall.SIGCONT)
 	}},
-	{"reload", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"reload", func(w *world, random *rand.Rand, wait func(int, int)) {
 		pick(random, w.processes()).signal(syscall.SIGHUP)
-		last(50, 100)
+		wait(50, 100)
 	}},
-	{"cut", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"cut", func(w *world, random *rand.Rand, wait func(int, int)) {
 		r := pick(random, w.relays)
-		r.set(pick(random, []relayMode{dropBoth, dropToTarget, dropFromTarget}), 0)
-		last(200, 4000)
-		r.set(forward, 0)
+		r.setMode(pick(random, []relayMode{dropBoth, dropToTarget, dropFromTarget}), 0)
+		wait(200, 4000)
+		r.setMode(forward, 0)
 		r.reset() // the bytes that were dropped would be missing in the streams
 	}},
-	{"delay", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"delay", func(w *world, random *rand.Rand, wait func(int, int)) {
 		r := pick(random, w.relays)
-		r.set(forward, time.Duration(1+random.IntN(60))*time.Millisecond)
-		last(200, 3000)
-		r.set(forward, 0)
+		r.setMode(forward, time.Duration(1+random.IntN(60))*time.Millisecond)
+		wait(200, 3000)
+		r.setMode(forward, 0)
 	}},
-	{"reset", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"reset", func(w *world, random *rand.Rand, wait func(int, int)) {
 		for _, r := range w.relays {
 			if random.IntN(3) == 0 {
 				r.reset()
 			}
 		}
-		last(50, 200)
+		wait(50, 200)
 	}},
-	{"store for one", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"store for one", func(w *world, random *rand.Rand, wait func(int, int)) {
 		p := pick(random, w.processes())
 		w.store.SetFault(p.name, pick(random, []standin.Fault{standin.Unavailable, standin.DropCalls, standin.DropResponses}))
-		last(200, 5000)
+		wait(200, 5000)
 		w.store.SetFault(p.name, standin.NoFault)
 	}},
-	{"store for all", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"store for all", func(w *world, random *rand.Rand, wait func(int, int)) {
 		fault := pick(random, []standin.Fault{standin.Unavailable, standin.DropCalls, standin.DropResponses})
 		for _, p := range w.processes() {
 			w.store.SetFault(p.name, fault)
 		}
-		last(200, 3000)
+		wait(200, 3000)
 		for _, p := range w.processes() {
 			w.store.SetFault(p.name, standin.NoFault)
 		}
 	}},
-	{"history dropped", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"history dropped", func(w *world, random *rand.Rand, wait func(int, int)) {
 		for _, topic := range []string{"keyed.jobs0", "keyed.agents", "keyed.notes0", "keyed.op"} {
 			w.store.TrimHistory(topic)
 		}
-		last(50, 200)
+		wait(50, 200)
 	}},
-	{"dealt anew", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"dealt anew", func(w *world, random *rand.Rand, wait func(int, int)) {
 		w.store.Rebalance()
-		last(50, 500)
+		wait(50, 500)
 	}},
-	{"configuration", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"configuration", func(w *world, random *rand.Rand, wait func(int, int)) {
 		for range 1 + random.IntN(5) {
 			w.configure()
-			last(50, 300)
+			wait(50, 300)
 		}
 	}},
-	{"server crashes", func(w *world, random *rand.Rand, last func(int, int)) {
-		pick(random, w.agents).newServer()
-		last(50, 500)
+	{"server crashes", func(w *world, random *rand.Rand, wait func(int, int)) {
+		pick(random, w.agents).replaceServer()
+		wait(50, 500)
 	}},
-	{"server shrinks", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"server shrinks", func(w *world, random *rand.Rand, wait func(int, int)) {
 		a := pick(random, w.agents)
 		for range 1 + random.IntN(3) {
 			a.withServer(func(e *standin.BackendServer) { e.Resize(int64(random.IntN(5)) * serverCPU / 4) })
-			last(100, 3000)
+			wait(100, 3000)
 		}
 		a.withServer(func(e *standin.BackendServer) { e.Resize(serverCPU) })
 	}},
-	{"drain", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"drain", func(w *world, random *rand.Rand, wait func(int, int)) {
 		domain := pick(random, domains)
 		w.drain(domain, true)
-		last(50, max(3000, int(length.Milliseconds()/2)))
+		wait(50, max(3000, int(faultDuration.Milliseconds()/2)))
 		w.drain(domain, false)
 	}},
-	{"drains in series", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"drains in series", func(w *world, random *rand.Rand, wait func(int, int)) {
 		for range 2 + random.IntN(6) {
 			domain := pick(random, domains)
 			w.drain(domain, true)
-			last(1, 400)
+			wait(1, 400)
 			w.drain(domain, false)
-			last(1, 200)
+			wait(1, 200)
 		}
 	}},
-	{"all domains drained", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"all domains drained", func(w *world, random *rand.Rand, wait func(int, int)) {
 		for _, domain := range domains {
 			w.drain(domain, true)
 		}
-		last(50, 1500)
+		wait(50, 1500)
 		for _, domain := range domains {
 			w.drain(domain, false)
 		}
 	}},
-	{"server loses answers", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"server loses answers", func(w *world, random *rand.Rand, wait func(int, int)) {
 		a := pick(random, w.agents)
 		a.withServer(func(e *standin.BackendServer) { e.DropStartResponses(true) })
-		last(200, 2000)
+		wait(200, 2000)
 		a.withServer(func(e *standin.BackendServer) { e.DropStartResponses(false) })
 	}},
-	{"server starts late", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"server starts late", func(w *world, random *rand.Rand, wait func(int, int)) {
 		a := pick(random, w.agents)
 		late := time.Duration(500+random.IntN(4000)) * time.Millisecond
 		a.withServer(func(e *standin.BackendServer) { e.DelayStarts(late) })
-		last(200, 2000)
+		wait(200, 2000)
 		a.withServer(func(e *standin.BackendServer) { e.DelayStarts(0) })
 	}},
-	{"server fails all", func(w *world, random *rand.Rand, last func(int, int)) {
+	{"server fails all", func(w *world, random *rand.Rand, wait func(int, int)) {
 		w.mu.Lock()
 		w.failing = true
 		w.mu.Unlock()
 		a := pick(random, w.agents)
 		a.withServer(func(e *standin.BackendServer) { e.FailAll(true) })
-		last(200, 2000)
+		wait(200, 2000)
 		a.withServer(func(e *standin.BackendServer) { e.FailAll(false) })
 	}},
 }
@@ -170,17 +170,17 @@
 // trouble brings one fault after the other about until it is stopped.
 func (w *world) injectFaults(series uint64, stop <-chan struct{}) {
 	random := w.random(series)
-	last := func(least, most int) { time.Sleep(time.Duration(least+random.IntN(most-least)) * time.Millisecond) }
+	wait := func(least, most int) { time.Sleep(time.Duration(least+random.IntN(most-least)) * time.Millisecond) }
 	for {
 		select {
 		case <-stop:
 			return
 		default:
 		}
-		t := pick(random, faultKinds)
+		kind := pick(random, faultKinds)
 		began := time.Now()
-		t.inject(w, random, last)
-		w.t.Logf("%s %d: %s for %v", began.Format("15:04:05.000"), series, t.name, time.Since(began).Round(time.Millisecond))
-		last(50, 800)
+		kind.inject(w, random, wait)
+		w.t.Logf("%s %d: %s for %v", began.Format("15:04:05.000"), series, kind.name, time.Since(began).Round(time.Millisecond))
+		wait(50, 800)
 	}
 }
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -39,11 +39,11 @@
 
 	cmd *exec.Cmd
 	// ending is set once this soak has told the present life to end.
-	endRequested bool
-	ended        chan struct{}
-	frozen       bool
+	exitRequested bool
+	exited        chan struct{}
+	frozen        bool
 	// faults tells of lives that ended by themselves.
-	unexpectedEnds []string
+	violations []string
 }
 
 func newProcess(t *testing.T, dir, name, settings string) *process {
@@ -74,19 +74,19 @@
 		p.t.Error(err)
 		return
 	}
-	p.cmd, p.endRequested, p.frozen, p.ended = cmd, false, false, make(chan struct{})
-	go p.reap(cmd, p.ended)
+	p.cmd, p.exitRequested, p.frozen, p.exited = cmd, false, false, make(chan struct{})
+	go p.reap(cmd, p.exited)
 }
 
-func (p *process) reap(cmd *exec.Cmd, ended chan struct{}) {
+func (p *process) reap(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.endRequested {
-		p.unexpectedEnds = append(p.unexpectedEnds, fmt.Sprintf("%s ended by itself: %v", p.name, err))
+	if !p.exitRequested {
+		p.violations = append(p.violations, fmt.Sprintf("%s ended by itself: %v", p.name, err))
 	}
 	p.cmd = nil
-	close(ended)
+	close(exited)
 }
 
 // signal sends a signal to the present life, if there is one.
@@ -98,7 +98,7 @@
 	}
 	switch sig {
 	case syscall.SIGKILL, syscall.SIGTERM:
-		p.endRequested = true
+		p.exitRequested = true
 	case syscall.SIGSTOP:
 		p.frozen = true
 	case syscall.SIGCONT:
@@ -112,13 +112,13 @@
 // wait waits until the present life has ended.
 func (p *process) wait(limit time.Duration) bool {
 	p.mu.Lock()
-	ended, running := p.ended, p.cmd != nil
+	exited, running := p.exited, p.cmd != nil
 	p.mu.Unlock()
 	if !running {
 		return true
 	}
 	select {
-	case <-ended:
+	case <-exited:
 		return true
 	case <-time.After(limit):
 		return false
@@ -132,8 +132,8 @@
 	p.wait(time.Minute)
 }
 
-func (p *process) unexpectedEndings() []string {
+func (p *process) unexpectedExits() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.unexpectedEnds
+	return p.violations
 }
--- a/soak/relay_test.go
+++ b/soak/relay_test.go
@@ -133,7 +133,7 @@
 	clear(r.conns)
 }
 
-func (r *relay) set(w relayMode, delay time.Duration) {
+func (r *relay) setMode(w relayMode, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.mode, r.delay = w, delay
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -16,11 +16,11 @@
 )
 
 var (
-	first   = flag.Uint64("soak.first", 1, "the first seed")
-	seeds   = flag.Uint64("soak.seeds", 1, "how many seeds")
-	length  = flag.Duration("soak.length", 6*time.Second, "how long each seed's troubles last")
-	entries = flag.Int("soak.entries", 2, "entries of a system")
-	agents  = flag.Int("soak.agents", 4, "agents of a system")
+	firstSeed     = flag.Uint64("soak.first", 1, "the first seed")
+	seeds         = flag.Uint64("soak.seeds", 1, "how many seeds")
+	faultDuration = flag.Duration("soak.length", 6*time.Second, "how long each seed's troubles last")
+	entries       = flag.Int("soak.entries", 2, "entries of a system")
+	agents        = flag.Int("soak.agents", 4, "agents of a system")
 )
 
 // regressions has the seeds that have ever failed, with what failed and why.
@@ -51,7 +51,7 @@
 // time. Whatever the clients were told has to be true, then and at the end.
 func TestSoak(t *testing.T) {
 	all := regressions
-	for seed := *first; seed < *first+*seeds; seed++ {
+	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
 		all = append(all, seed)
 	}
 	for _, seed := range all {
@@ -81,7 +81,7 @@
 	for i := range concurrentFaults {
 		injecting.Go(func() { w.injectFaults(uint64(i), stop) })
 	}
-	time.Sleep(*length)
+	time.Sleep(*faultDuration)
 	close(stop)
 	injecting.Wait()
 	w.clearFaults()
@@ -99,15 +99,15 @@
 // awaitService waits until a recorded and a best-effort job run to their ends.
 func (w *world) awaitService(c *clients) {
 	random := w.random(uint64(time.Now().UnixNano()))
-	for _, effort := range []bool{true, false} {
+	for _, bestEffort := range []bool{true, false} {
 		if !w.eventually(func() bool {
 			r := newRequest(random, 0x7f000000+random.IntN(1<<20), 0)
-			r.bestEffort = effort
-			r.body = fmt.Sprintf(`{"spec":"5","best_effort":%v,"steps":[{"count":1,"cpu_millis":100,"mem_mb":16,"estimate_ms":50}]}`, effort)
+			r.bestEffort = bestEffort
+			r.body = fmt.Sprintf(`{"spec":"5","best_effort":%v,"steps":[{"count":1,"cpu_millis":100,"mem_mb":16,"estimate_ms":50}]}`, bestEffort)
 			status, _ := c.call(random, http.MethodPost, r.id, r.body)
 			return status == http.StatusOK
 		}) {
-			w.t.Fatalf("no job of kind best_effort=%v was taken in %v", effort, eventuallyTimeout)
+			w.t.Fatalf("no job of kind best_effort=%v was taken in %v", bestEffort, eventuallyTimeout)
 		}
 	}
 }
@@ -124,18 +124,18 @@
 // awaitEnds waits until every accepted job that is recorded is shown as ended.
 func (c *clients) awaitEnds() {
 	random := c.w.random(99)
-	var open []*request
+	var unfinished []*request
 	for _, r := range c.jobs {
 		if r.accepted && !r.bestEffort {
-			open = append(open, r)
+			unfinished = append(unfinished, r)
 		}
 	}
 	c.w.eventually(func() bool {
-		open = slices.DeleteFunc(open, func(r *request) bool { return c.query(random, r) })
-		return len(open) == 0
+		unfinished = slices.DeleteFunc(unfinished, func(r *request) bool { return c.query(random, r) })
+		return len(unfinished) == 0
 	})
-	for _, r := range open {
-		c.w.addViolation("%s: accepted, and shown as %q for %v after all was well again", r.id, r.shown, eventuallyTimeout)
+	for _, r := range unfinished {
+		c.w.addViolation("%s: accepted, and shown as %q for %v after all was well again", r.id, r.lastState, eventuallyTimeout)
 	}
 }
 
@@ -155,7 +155,7 @@
 		default:
 			open++
 		}
-		if r.shown == "completed" {
+		if r.lastState == "completed" {
 			c.checkComplete(r, started)
 		}
 	}
@@ -166,7 +166,7 @@
 }
 
 func (c *clients) checkComplete(r *request, started map[string]int) {
-	for step, count := range r.steps {
+	for step, count := range r.tasksPerStep {
 		for task := range count {
 			if started[fmt.Sprintf("%s.0.%d.%d", r.id, step, task)] == 0 {
 				c.w.addViolation("%s: completed, and task %d of step %d was never started", r.id, task, step)
@@ -182,14 +182,14 @@
 	}
 	for _, f := range w.ledger.Faults() {
 		// A best-effort job may run again from the start after it got no answer.
-		of := f[strings.LastIndex(f, " ")+1:]
-		if strings.HasPrefix(of, bestEffortPrefix) && !strings.HasPrefix(f, "two runs at a time") && !strings.HasPrefix(f, standin.OverCapacity) && !strings.HasPrefix(f, standin.InDrainedDomain) {
+		task := f[strings.LastIndex(f, " ")+1:]
+		if strings.HasPrefix(task, bestEffortPrefix) && !strings.HasPrefix(f, "two runs at a time") && !strings.HasPrefix(f, standin.OverCapacity) && !strings.HasPrefix(f, standin.InDrainedDomain) {
 			continue
 		}
 		w.addViolation("%s", f)
 	}
 	for _, p := range w.processes() {
-		w.violations = append(w.violations, p.unexpectedEndings()...)
+		w.violations = append(w.violations, p.unexpectedExits()...)
 	}
 	slices.Sort(w.violations)
 	for _, f := range slices.Compact(w.violations) {
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -38,8 +38,8 @@
 	mu sync.Mutex
 	// All fields below are guarded by mu.
 
-	violations []string
-	version    int
+	violations    []string
+	configVersion int
 	// drains counts the present drains of each failure domain.
 	drains map[string]int
 	// failing is set once backend servers were told to fail all runs.
@@ -161,7 +161,7 @@
 	a.serverRelay = w.relayTo("127.0.0.1:1") // until there is one
 	listen := fmt.Sprintf(`"reports": %q, "links": %q, "links_announced": %q`, a.reportsAddr, links, a.linkRelay.addr())
 	a.process = newProcess(w.t, w.dir, name, w.settings("agent", name, domain, listen, a.serverRelay.addr()))
-	a.newServer()
+	a.replaceServer()
 	return a
 }
 
@@ -215,7 +215,7 @@
 }
 
 // newServer replaces the backend server beside an agent by another instance.
-func (a *agent) newServer() {
+func (a *agent) replaceServer() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.server != nil {
@@ -242,22 +242,22 @@
 }
 
 func (w *world) newEntry(name string) {
-	front := address(w.t)
-	listen := fmt.Sprintf(`"clients": %q, "ready": %q`, front, address(w.t))
+	clientAddr := address(w.t)
+	listen := fmt.Sprintf(`"clients": %q, "ready": %q`, clientAddr, address(w.t))
 	w.entries = append(w.entries, newProcess(w.t, w.dir, name, w.settings("entry", name, domains[0], listen, "")))
-	w.clientAddrs = append(w.clientAddrs, front)
+	w.clientAddrs = append(w.clientAddrs, clientAddr)
 }
 
 // configure writes the next version of the configuration.
 func (w *world) configure() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.version++
+	w.configVersion++
 	other := ""
-	if w.version%2 == 0 {
+	if w.configVersion%2 == 0 {
 		other = `,{"name":"other","host":"other.example","path_prefix":"/o/","timeout_ms":1500,"service":"desk","max_attempts":1,"slack_factor":2}`
 	}
-	w.store.Put("keyed.op", "config", fmt.Appendf(nil, configFormat, w.version, 1500+w.version, other))
+	w.store.Put("keyed.op", "config", fmt.Appendf(nil, configFormat, w.configVersion, 1500+w.configVersion, other))
 }
 
 func (w *world) end() {
@@ -277,7 +277,7 @@
 func (w *world) clearFaults() {
 	w.store.SetFault("", standin.NoFault)
 	for _, r := range w.relays {
-		r.set(forward, 0)
+		r.setMode(forward, 0)
 		r.reset() // what a silent connection swallowed never comes
 	}
 	for _, a := range w.agents {
