--- a/coordination/load/size_test.go
+++ b/coordination/load/size_test.go
@@ -18,7 +18,7 @@
 
 var sizes = flag.Bool("load.sizes", false, "run the mix of a large site with many sizes of the fleet and of the subsets, and print the outcomes")
 
-// linksPerEntry is the default of the setting "links".
+// linksPerEntry is the value of "links" in deploy/settings.jsonc.
 const linksPerEntry = 32
 
 // fleet returns a setup of the given size with default parameters.
--- a/soak/clients_test.go
+++ b/soak/clients_test.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// effortPrefix begins the IDs of best-effort jobs. For these the platform
-	// rules out two runs of a task at a time, and no more.
+	// bestEffortPrefix begins the IDs of best-effort jobs. For these only concurrent runs of a task
+	// are ruled out.
 	bestEffortPrefix = "e"
-	// resendAfter is the platform's pause before a job without an answer is sent
-	// again, tries how often that is done here.
+	// resendDelay is how long clients of the platform wait before they resend a job that got no
+	// response, and maxTries how often a job is sent at most.
 	resendDelay = 1300 * time.Millisecond
 	maxTries    = 4
-	// clientPatience bounds one call: above the time limit that it names.
+	// callTimeout is the HTTP timeout of a call. It is above timeLimitMS, the time limit that each
+	// call states in milliseconds.
 	callTimeout = 4 * time.Second
 	timeLimitMS = "2500"
 )
@@ -30,16 +31,16 @@
 	body         string
 	bestEffort   bool
 	tasksPerStep []int
-	// crashes is set where the job's tasks crash their backend servers.
+	// crashesServers is set if the job's tasks crash their backend servers.
 	crashesServers bool
 
-	// accepted is set by the first 2xx, refused while every answer so far was a
-	// refusal, cancelled once a cancellation was sent.
+	// accepted is set by a submission that got status 200, refused while every response so far was
+	// a refusal, and cancelled once a cancellation was sent. lastState is the last reported state.
 	accepted, refused, cancelled bool
 	lastState                    string
 }
 
-// clients send jobs until they are stopped, and keep their connections.
+// clients submits jobs from concurrent clients, which keep their connections, until it is stopped.
 type clients struct {
 	w    *world
 	http *http.Client
@@ -52,7 +53,7 @@
 	return &clients{w: w, http: &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 }
 
-// run is one client: it sends one job after the other.
+// run runs one client, which submits one job after the other.
 func (c *clients) run(number int, stop <-chan struct{}) {
 	random := c.w.random(uint64(1000 + number))
 	for n := 0; ; n++ {
@@ -94,10 +95,10 @@
 	return r
 }
 
-// crasherOneIn is how many recorded jobs come for one that crashes its servers.
+// jobsPerCrasher is the mean number of recorded jobs of which one crashes its backend servers.
 const jobsPerCrasher = 40
 
-// submit sends a job, and again after no answer, to any entry.
+// submit sends a job to a random entry, and sends it again if there is no response.
 func (c *clients) submit(random *rand.Rand, r *request) {
 	for range maxTries {
 		status, state := c.call(random, http.MethodPost, r.id, r.body)
@@ -112,13 +113,13 @@
 			r.refused = false
 			time.Sleep(resendDelay)
 		default:
-			c.w.addViolation("%s: a submission was answered %d", r.id, status)
+			c.w.addViolation("%s: submission got unexpected status %d", r.id, status)
 			return
 		}
 	}
 }
 
-// follow asks for an accepted job some times, and cancels a few.
+// follow queries an accepted job up to three times, and cancels a few jobs instead.
 func (c *clients) follow(random *rand.Rand, r *request) {
 	for range random.IntN(4) {
 		time.Sleep(time.Duration(random.IntN(200)) * time.Millisecond)
@@ -131,17 +132,17 @@
 	}
 }
 
-// look asks for a job's state. It reports whether that is final.
+// query gets a job's state and reports whether it is final.
 func (c *clients) query(random *rand.Rand, r *request) bool {
 	status, state := c.call(random, http.MethodGet, r.id, "")
 	switch status {
 	case http.StatusOK:
 		c.checkState(r, state)
 	case http.StatusGone:
-		c.w.addViolation("%s: accepted, and then said to be unknown", r.id)
+		c.w.addViolation("%s: accepted, but reported as unknown later", r.id)
 		r.lastState = "unknown"
 	case http.StatusNotFound:
-		c.w.addViolation("%s: its queue was said to be unknown", r.id)
+		c.w.addViolation("%s: its queue was reported as unknown", r.id)
 	}
 	return isFinal(r.lastState)
 }
@@ -150,30 +151,32 @@
 	return state == "completed" || state == "failed" || state == "cancelled" || state == "unknown"
 }
 
-// see checks a state against what was shown before.
+// checkState checks a reported state against the states reported before and against what happened
+// to the job.
 func (c *clients) checkState(r *request, state string) {
 	if isFinal(r.lastState) && state != r.lastState {
-		c.w.addViolation("%s: shown as %s, and then as %s", r.id, r.lastState, state)
+		c.w.addViolation("%s: reported as %s, then as %s", r.id, r.lastState, state)
 	}
 	c.w.mu.Lock()
 	failing := c.w.failing
 	c.w.mu.Unlock()
 	if state == "failed" && !failing && c.w.ledger.MaxLost(r.id) < minLostServers {
-		c.w.addViolation("%s: failed, and no backend server fails its runs, or was lost with them", r.id)
+		c.w.addViolation("%s: failed, but no backend server failed its runs or was lost with them", r.id)
 	}
 	if state == "completed" && r.crashesServers {
-		c.w.addViolation("%s: completed, though its tasks crash their servers", r.id)
+		c.w.addViolation("%s: completed, but its tasks crash their backend servers", r.id)
 	}
 	if state == "cancelled" && !r.cancelled {
-		c.w.addViolation("%s: cancelled by nobody", r.id)
+		c.w.addViolation("%s: cancelled, but no client sent a cancellation", r.id)
 	}
 	r.lastState = state
 }
 
-// leastLost is how many servers have to be lost under a task before it may be given up.
+// minLostServers is how many backend servers must be lost under a task before it may be given up.
 const minLostServers = 2
 
-// call sends a request to some entry. The status is zero for no answer.
+// call sends a request to a random entry and returns the status and the job's state. The status is
+// zero if there was no response.
 func (c *clients) call(random *rand.Rand, method, id, body string) (int, string) {
 	addr := c.w.clientAddrs[random.IntN(len(c.w.clientAddrs))]
 	req, err := http.NewRequest(method, "http://"+addr+"/q/"+id, strings.NewReader(body))
@@ -185,7 +188,7 @@
 	req.Header.Set("Shallotstep-Deadline-Ms", timeLimitMS)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return 0, "" // no answer is one of the outcomes
+		return 0, "" // a missing response is an expected outcome under faults
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
@@ -196,7 +199,7 @@
 		State string `json:"state"`
 	}
 	if err := json.Unmarshal(b, &out); err != nil {
-		c.w.addViolation("%s: %s was answered %d with %.100q", id, method, resp.StatusCode, b)
+		c.w.addViolation("%s: %s got status %d with an invalid body %.100q", id, method, resp.StatusCode, b)
 	}
 	return resp.StatusCode, out.State
 }
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,4 +1,4 @@
-// Package soak has no code of its own: its tests run the real programs as separate
-// processes on loopback under random faults from outside, and check what the pages
-// promise by what clients and backend servers see.
+// Package soak holds only tests. They run the daemon as separate processes on loopback, inject
+// random faults from outside, and check the documented guarantees by what clients and backend
+// servers see.
 package soak
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -8,7 +8,7 @@
 	"github.com/shallotstep/shallotstep/platform/standin"
 )
 
-// trouble is one fault: it begins, lasts and ends. Several run at a time.
+// faultKind is a kind of fault. inject begins it, waits, and ends it.
 type faultKind struct {
 	name   string
 	inject func(w *world, random *rand.Rand, wait func(least, most int))
@@ -16,7 +16,8 @@
 
 func pick[T any](random *rand.Rand, from []T) T { return from[random.IntN(len(from))] }
 
-// troubles is all that may happen. last waits for some milliseconds within bounds.
+// faultKinds are the faults that are injected. wait sleeps for a random number of milliseconds
+// within bounds.
 var faultKinds = []faultKind{
 	{"kill", func(w *world, random *rand.Rand, wait func(int, int)) {
 		p := pick(random, w.processes())
@@ -39,7 +40,7 @@
 		p := pick(random, w.processes())
 		p.signal(syscall.SIGTERM)
 		if !p.wait(10 * time.Second) {
-			p.kill() // it may be frozen by another trouble
+			p.kill() // it may be frozen by another fault
 		}
 		wait(0, 500)
 		p.start()
@@ -54,20 +55,20 @@
 		pick(random, w.processes()).signal(syscall.SIGHUP)
 		wait(50, 100)
 	}},
-	{"cut", func(w *world, random *rand.Rand, wait func(int, int)) {
+	{"connection cut", func(w *world, random *rand.Rand, wait func(int, int)) {
 		r := pick(random, w.relays)
 		r.setMode(pick(random, []relayMode{dropBoth, dropToTarget, dropFromTarget}), 0)
 		wait(200, 4000)
 		r.setMode(forward, 0)
-		r.reset() // the bytes that were dropped would be missing in the streams
+		r.reset() // bytes that the relay dropped are missing in the streams
 	}},
-	{"delay", func(w *world, random *rand.Rand, wait func(int, int)) {
+	{"connection delayed", func(w *world, random *rand.Rand, wait func(int, int)) {
 		r := pick(random, w.relays)
 		r.setMode(forward, time.Duration(1+random.IntN(60))*time.Millisecond)
 		wait(200, 3000)
 		r.setMode(forward, 0)
 	}},
-	{"reset", func(w *world, random *rand.Rand, wait func(int, int)) {
+	{"connections reset", func(w *world, random *rand.Rand, wait func(int, int)) {
 		for _, r := range w.relays {
 			if random.IntN(3) == 0 {
 				r.reset()
@@ -75,13 +76,13 @@
 		}
 		wait(50, 200)
 	}},
-	{"store for one", func(w *world, random *rand.Rand, wait func(int, int)) {
+	{"store fault for one process", func(w *world, random *rand.Rand, wait func(int, int)) {
 		p := pick(random, w.processes())
 		w.store.SetFault(p.name, pick(random, []standin.Fault{standin.Unavailable, standin.DropCalls, standin.DropResponses}))
 		wait(200, 5000)
 		w.store.SetFault(p.name, standin.NoFault)
 	}},
-	{"store for all", func(w *world, random *rand.Rand, wait func(int, int)) {
+	{"store fault for all processes", func(w *world, random *rand.Rand, wait func(int, int)) {
 		fault := pick(random, []standin.Fault{standin.Unavailable, standin.DropCalls, standin.DropResponses})
 		for _, p := range w.processes() {
 			w.store.SetFault(p.name, fault)
@@ -91,17 +92,17 @@
 			w.store.SetFault(p.name, standin.NoFault)
 		}
 	}},
-	{"history dropped", func(w *world, random *rand.Rand, wait func(int, int)) {
+	{"history trimmed", func(w *world, random *rand.Rand, wait func(int, int)) {
 		for _, topic := range []string{"keyed.jobs0", "keyed.agents", "keyed.notes0", "keyed.op"} {
 			w.store.TrimHistory(topic)
 		}
 		wait(50, 200)
 	}},
-	{"dealt anew", func(w *world, random *rand.Rand, wait func(int, int)) {
+	{"partitions rebalanced", func(w *world, random *rand.Rand, wait func(int, int)) {
 		w.store.Rebalance()
 		wait(50, 500)
 	}},
-	{"configuration", func(w *world, random *rand.Rand, wait func(int, int)) {
+	{"configuration changed", func(w *world, random *rand.Rand, wait func(int, int)) {
 		for range 1 + random.IntN(5) {
 			w.configure()
 			wait(50, 300)
@@ -143,7 +144,7 @@
 			w.drain(domain, false)
 		}
 	}},
-	{"server loses answers", func(w *world, random *rand.Rand, wait func(int, int)) {
+	{"server drops start responses", func(w *world, random *rand.Rand, wait func(int, int)) {
 		a := pick(random, w.agents)
 		a.withServer(func(e *standin.BackendServer) { e.DropStartResponses(true) })
 		wait(200, 2000)
@@ -167,7 +168,7 @@
 	}},
 }
 
-// trouble brings one fault after the other about until it is stopped.
+// injectFaults injects one random fault after the other until stop is closed.
 func (w *world) injectFaults(series uint64, stop <-chan struct{}) {
 	random := w.random(series)
 	wait := func(least, most int) { time.Sleep(time.Duration(least+random.IntN(most-least)) * time.Millisecond) }
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -10,12 +10,12 @@
 	"testing"
 	"time"
 
-	// The go command takes a result for known while no source that it knows of has
-	// changed; the daemon that is built here has to be one of them.
+	// The go command reuses a cached test result unless a dependency of the test has changed. The
+	// import makes the daemon, which this package builds and runs, a dependency.
 	_ "github.com/shallotstep/shallotstep/daemon"
 )
 
-// program is the built daemon.
+// daemonPath is the path of the daemon's binary.
 var daemonPath string
 
 func buildDaemon(dir string) error {
@@ -27,7 +27,8 @@
 	return nil
 }
 
-// process is one daemon. It is ended by its own process's handle only.
+// process is a daemon that can be stopped and restarted. Signals are sent by the handle of the
+// process only, so that they can't reach another one.
 type process struct {
 	t        *testing.T
 	name     string
@@ -38,11 +39,12 @@
 	// All fields below are guarded by mu.
 
 	cmd *exec.Cmd
-	// ending is set once this soak has told the present life to end.
+	// exitRequested is set once the test has sent the running process SIGTERM or SIGKILL.
 	exitRequested bool
-	exited        chan struct{}
-	frozen        bool
-	// faults tells of lives that ended by themselves.
+	// exited is closed when the running process has exited.
+	exited chan struct{}
+	frozen bool
+	// violations has a message for each process that exited unexpectedly.
 	violations []string
 }
 
@@ -59,7 +61,7 @@
 	return &process{t: t, name: name, settings: path, log: log}
 }
 
-// start begins a life unless there is one.
+// start starts the daemon unless it is running.
 func (p *process) start() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,7 +70,7 @@
 	}
 	cmd := exec.Command(daemonPath, "run", "-settings", p.settings)
 	cmd.Stdout, cmd.Stderr = p.log, p.log
-	// Nothing is left behind by a test that is ended from outside.
+	// The daemon must not outlive a test that is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		p.t.Error(err)
@@ -78,18 +80,19 @@
 	go p.reap(cmd, p.exited)
 }
 
+// reap waits until the process has exited, and records a violation if that was not requested.
 func (p *process) reap(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.exitRequested {
-		p.violations = append(p.violations, fmt.Sprintf("%s ended by itself: %v", p.name, err))
+		p.violations = append(p.violations, fmt.Sprintf("%s exited unexpectedly: %v", p.name, err))
 	}
 	p.cmd = nil
 	close(exited)
 }
 
-// signal sends a signal to the present life, if there is one.
+// signal sends a signal to the process if it is running.
 func (p *process) signal(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,7 +112,7 @@
 	}
 }
 
-// wait waits until the present life has ended.
+// wait waits until the process has exited, and reports whether it has within limit.
 func (p *process) wait(limit time.Duration) bool {
 	p.mu.Lock()
 	exited, running := p.exited, p.cmd != nil
@@ -125,13 +128,14 @@
 	}
 }
 
-// kill ends the present life at once.
+// kill kills the process and waits until it has exited. A frozen process is continued first.
 func (p *process) kill() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGKILL)
 	p.wait(time.Minute)
 }
 
+// unexpectedExits returns a message for each time the daemon exited without being asked to.
 func (p *process) unexpectedExits() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/soak/relay_test.go
+++ b/soak/relay_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// way is what a relay does with what it is given.
+// relayMode is what a relay does with the bytes it receives.
 type relayMode int
 
 const (
-	// pass hands it on.
+	// forward forwards them.
 	forward relayMode = iota
-	// silent drops it both ways; connections stay open.
+	// dropBoth drops them in both directions. Connections stay open.
 	dropBoth
-	// forthLost drops what goes to the target only.
+	// dropToTarget drops only those sent to the target.
 	dropToTarget
-	// backLost drops what comes from the target only.
+	// dropFromTarget drops only those sent by the target.
 	dropFromTarget
 )
 
-// relay stands between a process and what it connects to.
+// relay forwards TCP connections to a target and injects faults into them.
 type relay struct {
 	listener net.Listener
 
@@ -84,7 +84,7 @@
 	return !r.closed
 }
 
-// copy hands on in one direction; lost is the way that drops just that.
+// copy forwards one direction of a connection. dropMode is the mode that drops only this direction.
 func (r *relay) copy(to, from net.Conn, dropMode relayMode) {
 	defer r.drop(to, from)
 	buf := make([]byte, 32<<10)
@@ -117,16 +117,16 @@
 	}
 }
 
-// closeConn ends a connection; its peer sees that, and nobody else needs to know.
+// closeConn closes a connection and ignores the error: the peer sees the close.
 func closeConn(c net.Conn) { _ = c.Close() }
 
-// reset ends all connections with a reset.
+// reset closes all connections with a TCP reset.
 func (r *relay) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // it is closed all the same
+			_ = tcp.SetLinger(0) // without it the connection is closed without a reset
 		}
 		closeConn(c)
 	}
@@ -139,7 +139,7 @@
 	r.mode, r.delay = w, delay
 }
 
-// lead has new connections go elsewhere, and ends the others.
+// redirect sets the target of new connections, and resets the present ones.
 func (r *relay) redirect(target string) {
 	r.mu.Lock()
 	r.target = target
@@ -155,5 +155,5 @@
 	r.reset()
 }
 
-// closeListener ends a listener, whose accepting goroutine sees it.
+// closeListener closes a listener and ignores the error: the accepting goroutine sees the close.
 func closeListener(l net.Listener) { _ = l.Close() }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -16,14 +16,15 @@
 )
 
 var (
-	firstSeed     = flag.Uint64("soak.first", 1, "the first seed")
-	seeds         = flag.Uint64("soak.seeds", 1, "how many seeds")
-	faultDuration = flag.Duration("soak.length", 6*time.Second, "how long each seed's troubles last")
-	entries       = flag.Int("soak.entries", 2, "entries of a system")
-	agents        = flag.Int("soak.agents", 4, "agents of a system")
+	firstSeed     = flag.Uint64("soak.first", 1, "first seed")
+	seeds         = flag.Uint64("soak.seeds", 1, "number of seeds")
+	faultDuration = flag.Duration("soak.length", 6*time.Second, "how long faults are injected for each seed")
+	entries       = flag.Int("soak.entries", 2, "number of entries in each system")
+	agents        = flag.Int("soak.agents", 4, "number of agents in each system")
 )
 
-// regressions has the seeds that have ever failed, with what failed and why.
+// regressions has the seeds that have failed before, each with a comment on what failed and why.
+// They are always run.
 var regressions = []uint64{}
 
 func TestMain(m *testing.M) {
@@ -45,10 +46,10 @@
 	return m.Run()
 }
 
-// A system of real processes gets jobs from clients that keep their connections,
-// while processes are killed, stopped, frozen and restarted, connections are cut,
-// delayed and reset, and the store and the backend servers misbehave, several at a
-// time. Whatever the clients were told has to be true, then and at the end.
+// TestSoak runs a system of real processes with clients that keep their connections and submit
+// jobs. Meanwhile processes are killed, stopped, frozen and restarted, connections are cut, delayed
+// and reset, and the store and the backend servers fail, several faults at a time. The responses
+// that clients got must be true and must stay true.
 func TestSoak(t *testing.T) {
 	all := regressions
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
@@ -62,8 +63,8 @@
 	}
 }
 
-// troubleSeries is how many troubles there are at a time, clientCount how many
-// clients send jobs.
+// concurrentFaults is the number of faults injected at a time, and numClients the number of clients
+// that submit jobs.
 const (
 	concurrentFaults = 3
 	numClients       = 8
@@ -96,7 +97,7 @@
 	w.check()
 }
 
-// awaitService waits until a recorded and a best-effort job run to their ends.
+// awaitService waits until the system accepts a best-effort and a recorded job.
 func (w *world) awaitService(c *clients) {
 	random := w.random(uint64(time.Now().UnixNano()))
 	for _, bestEffort := range []bool{true, false} {
@@ -107,11 +108,12 @@
 			status, _ := c.call(random, http.MethodPost, r.id, r.body)
 			return status == http.StatusOK
 		}) {
-			w.t.Fatalf("no job of kind best_effort=%v was taken in %v", bestEffort, eventuallyTimeout)
+			w.t.Fatalf("no job with best_effort=%v was accepted within %v", bestEffort, eventuallyTimeout)
 		}
 	}
 }
 
+// eventually polls a condition and reports whether it became true within eventuallyTimeout.
 func (w *world) eventually(ok func() bool) bool {
 	for end := time.Now().Add(eventuallyTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if ok() {
@@ -121,7 +123,7 @@
 	return false
 }
 
-// awaitEnds waits until every accepted job that is recorded is shown as ended.
+// awaitEnds waits until all accepted recorded jobs are reported as ended.
 func (c *clients) awaitEnds() {
 	random := c.w.random(99)
 	var unfinished []*request
@@ -135,11 +137,11 @@
 		return len(unfinished) == 0
 	})
 	for _, r := range unfinished {
-		c.w.addViolation("%s: accepted, and shown as %q for %v after all was well again", r.id, r.lastState, eventuallyTimeout)
+		c.w.addViolation("%s: accepted, but still reported as %q %v after all faults were cleared", r.id, r.lastState, eventuallyTimeout)
 	}
 }
 
-// check holds what the clients were told against what the backend servers saw.
+// check compares the responses that clients got with what the backend servers saw.
 func (c *clients) check() {
 	accepted, refused, open := 0, 0, 0
 	for _, r := range c.jobs {
@@ -150,7 +152,7 @@
 		case r.refused:
 			refused++
 			if len(started) > 0 {
-				c.w.addViolation("%s: refused each time, and %d of its tasks have started", r.id, len(started))
+				c.w.addViolation("%s: every submission was refused, but %d of its tasks were started", r.id, len(started))
 			}
 		default:
 			open++
@@ -159,29 +161,30 @@
 			c.checkComplete(r, started)
 		}
 	}
-	c.w.t.Logf("seed %d: %d jobs accepted, %d refused, %d left open", c.w.seed, accepted, refused, open)
+	c.w.t.Logf("seed %d: %d jobs accepted, %d refused, %d with unknown outcome", c.w.seed, accepted, refused, open)
 	if accepted == 0 {
 		c.w.addViolation("no job was accepted")
 	}
 }
 
+// checkComplete checks that all tasks of a completed job were started.
 func (c *clients) checkComplete(r *request, started map[string]int) {
 	for step, count := range r.tasksPerStep {
 		for task := range count {
 			if started[fmt.Sprintf("%s.0.%d.%d", r.id, step, task)] == 0 {
-				c.w.addViolation("%s: completed, and task %d of step %d was never started", r.id, task, step)
+				c.w.addViolation("%s: completed, but task %d of step %d was never started", r.id, task, step)
 			}
 		}
 	}
 }
 
-// check reports all that must not have happened.
+// check reports all violations, with the log lines that name the job.
 func (w *world) check() {
 	if !w.eventually(func() bool { return len(w.ledger.Running()) == 0 }) {
-		w.addViolation("%v still run, and nobody waits for them", w.ledger.Running())
+		w.addViolation("tasks still running after all jobs ended: %v", w.ledger.Running())
 	}
 	for _, f := range w.ledger.Faults() {
-		// A best-effort job may run again from the start after it got no answer.
+		// A best-effort job whose client got no response may run again from the start.
 		task := f[strings.LastIndex(f, " ")+1:]
 		if strings.HasPrefix(task, bestEffortPrefix) && !strings.HasPrefix(f, "two runs at a time") && !strings.HasPrefix(f, standin.OverCapacity) && !strings.HasPrefix(f, standin.InDrainedDomain) {
 			continue
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -15,14 +15,14 @@
 	"github.com/shallotstep/shallotstep/platform/standin"
 )
 
-// partitions is what the stand-in of the store shares out of each topic.
+// partitions is the number of partitions of each topic that the store divides among the owners.
 const partitions = 4
 
-// routes is a configuration. The second route comes and goes.
+// configFormat is the configuration. Every second version has a second route.
 const configFormat = `{"version":%d,"routes":[{"name":"quotes","host":"desk.example","path_prefix":"/q/","timeout_ms":%d,
 "target_latency_ms":60,"priority":0,"service":"desk","max_attempts":3,"slack_factor":1.6}%s],"limits":{"max_body_bytes":262144}}`
 
-// world is one system with its surroundings.
+// world is a system under test with the store, the backend servers and the relays around it.
 type world struct {
 	t      *testing.T
 	seed   uint64
@@ -30,7 +30,8 @@
 	store  *standin.Store
 	ledger *standin.Ledger
 	agents []*agent
-	// entries are the entries' processes, fronts where their clients connect.
+	// entries are the processes of the entries, and clientAddrs the addresses that their clients
+	// connect to.
 	entries     []*process
 	clientAddrs []string
 	relays      []*relay
@@ -40,19 +41,19 @@
 
 	violations    []string
 	configVersion int
-	// drains counts the present drains of each failure domain.
+	// drains counts the drains in force of each failure domain.
 	drains map[string]int
-	// failing is set once backend servers were told to fail all runs.
+	// failing is set once any backend server was made to fail all runs.
 	failing bool
 }
 
-// agent is an agent's process with the backend server beside it.
+// agent is an agent's process with its backend server.
 type agent struct {
 	*process
 	w           *world
 	domain      string
 	reportsAddr string
-	// server is the way to the backend server, links that to the agent.
+	// serverRelay leads to the backend server, and linkRelay to the agent's links.
 	serverRelay, linkRelay *relay
 
 	mu sync.Mutex
@@ -62,7 +63,7 @@
 	serverInstances int
 }
 
-// fault notes what must not have happened.
+// addViolation records a violation of a guarantee.
 func (w *world) addViolation(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,7 +87,7 @@
 	return w
 }
 
-// keepDir is a directory whose logs stay if the test fails.
+// logDir returns a directory for logs, which is kept if the test fails.
 func logDir(t *testing.T, seed uint64) string {
 	dir, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", seed))
 	if err != nil {
@@ -112,10 +113,12 @@
 	return out
 }
 
-// hosts numbers the loopback addresses in use. A process's ports stay free while it
-// is away, since no outgoing connection is given a port of its address.
+// lastHost is the number of the last loopback address in use. Each listener gets an address of its
+// own. Outgoing connections are not given ports of that address, so a process finds its ports free
+// when it restarts.
 var lastHost atomic.Int32
 
+// address returns a free port on a new loopback address.
 func address(t *testing.T) string {
 	t.Helper()
 	host := lastHost.Add(1)
@@ -127,7 +130,7 @@
 	return l.Addr().String()
 }
 
-// relayTo puts a relay before an address.
+// relayTo starts a relay in front of an address.
 func (w *world) relayTo(target string) *relay {
 	w.t.Helper()
 	r, err := newRelay("127.0.0.1:0", target)
@@ -138,8 +141,8 @@
 	return r
 }
 
-// settings fills in what all processes have. Each reaches the store at an address,
-// and through a relay, of its own.
+// settings returns the settings of a process. Each process has its own address of the store, behind
+// a relay of its own, so that faults can be injected for one process.
 func (w *world) settings(role, name, domain, listen, server string) string {
 	w.t.Helper()
 	addr, err := w.store.Listen(name)
@@ -158,7 +161,7 @@
 	a := &agent{w: w, domain: domain, reportsAddr: address(w.t)}
 	links := address(w.t)
 	a.linkRelay = w.relayTo(links)
-	a.serverRelay = w.relayTo("127.0.0.1:1") // until there is one
+	a.serverRelay = w.relayTo("127.0.0.1:1") // replaceServer sets the real target
 	listen := fmt.Sprintf(`"reports": %q, "links": %q, "links_announced": %q`, a.reportsAddr, links, a.linkRelay.addr())
 	a.process = newProcess(w.t, w.dir, name, w.settings("agent", name, domain, listen, a.serverRelay.addr()))
 	a.replaceServer()
@@ -166,21 +169,22 @@
 }
 
 const (
-	// serverCPU is what a backend server has, in thousandths of a core.
+	// serverCPU is the capacity of a backend server, in thousandths of a core.
 	serverCPU = 4000
-	// roomGrace is how long an agent may go by an old capacity: it may be frozen for 4 s,
-	// and a start be carried out 4.5 s late.
+	// capacityGrace is how long after a change of the capacity starts may still be based on the old
+	// one: an agent may be frozen for 4 s, and a start call may be carried out 4.5 s late.
 	capacityGrace = 9 * time.Second
 )
 
-// domains are the failure domains. Agents stand in them in turn.
+// domains are the failure domains, to which agents are assigned in turn.
 var domains = []string{"jeonju", "iksan", "gunsan"}
 
-// drainHeard is how long after a drain an agent may still start something: it may be frozen
-// for 4 s, a start be carried out 4.5 s late, and who has lost the store looks after 2 s.
+// drainGrace is how long after a drain runs may still start in the domain: an agent may be frozen
+// for 4 s, a start call may be carried out 4.5 s late, and an agent whose owners have lost the
+// store reads the drains itself only after 2 s.
 const drainGrace = 13 * time.Second
 
-// drain drains a failure domain, or ends one of its drains.
+// drain adds or removes a drain of a failure domain. The domain is drained while it has any.
 func (w *world) drain(domain string, drained bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -214,7 +218,7 @@
 	e.Undrain()
 }
 
-// newServer replaces the backend server beside an agent by another instance.
+// replaceServer replaces the agent's backend server by a new instance.
 func (a *agent) replaceServer() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -234,7 +238,7 @@
 	e.ReportTo(a.reportsAddr)
 }
 
-// serverDo does something to the present backend server.
+// withServer calls f with the present backend server.
 func (a *agent) withServer(f func(*standin.BackendServer)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -273,12 +277,12 @@
 	w.store.Close()
 }
 
-// heal ends all faults and brings every process back.
+// clearFaults ends all faults of the store, the relays and the backend servers.
 func (w *world) clearFaults() {
 	w.store.SetFault("", standin.NoFault)
 	for _, r := range w.relays {
 		r.setMode(forward, 0)
-		r.reset() // what a silent connection swallowed never comes
+		r.reset() // bytes that the relay dropped are missing in the streams
 	}
 	for _, a := range w.agents {
 		a.withServer(func(e *standin.BackendServer) {
@@ -293,7 +297,7 @@
 	}
 }
 
-// logsOf returns the lines of all processes that name a job.
+// logsOf returns the log lines of all processes that contain a job's ID.
 func (w *world) logsOf(id string) string {
 	var out strings.Builder
 	files, err := filepath.Glob(filepath.Join(w.dir, "*.log"))
@@ -303,7 +307,7 @@
 	for _, f := range files {
 		b, err := os.ReadFile(f)
 		if err != nil {
-			continue // the directory tells who looks
+			continue // the log is still in the directory
 		}
 		for line := range strings.Lines(string(b)) {
 			if strings.Contains(line, id) {
@@ -314,8 +318,8 @@
 	return out.String()
 }
 
-// random returns a generator for one part of a seed.
+// random returns a random generator for one part of the test, derived from the seed.
 func (w *world) random(part uint64) *rand.Rand { return rand.New(rand.NewPCG(w.seed, part)) }
 
-// patience bounds waits at the end; nothing is asserted of how long they take.
+// eventuallyTimeout bounds the waits of eventually. It is no bound on how fast the system recovers.
 const eventuallyTimeout = 60 * time.Second
