--- a/coordination/load/mix_test.go
+++ b/coordination/load/mix_test.go
@@ -89,15 +89,21 @@
 type tally struct{ asked, inAim, late, refused, tooLate int }
 
 const (
+	// The spreads are standard deviations of the logarithm: of a job's mean work, of its number of
+	// tasks, of the work of its tasks, and of the estimate that the client gives.
 	workSpread      = 0.4
 	taskCountSpread = 0.4
 	workSpreadInJob = 0.15
 	estimateSpread  = 0.4
-	slackFactor     = 1.6
-	targetLatency   = 60 * time.Millisecond
-	lateFactor      = 3
-	minTimeout      = 1500 * time.Millisecond
-	maxOverMean     = 4
+	// A job's objective is slackFactor times its longest task, plus targetLatency.
+	slackFactor   = 1.6
+	targetLatency = 60 * time.Millisecond
+	// lateFactor is how many times its objective a job may take before its result is of no use.
+	lateFactor = 3
+	// minTimeout is the part of a client's timeout that doesn't depend on the job's objective.
+	minTimeout = 1500 * time.Millisecond
+	// maxOverMean bounds random values, as a multiple of their mean.
+	maxOverMean = 4
 )
 
 // logNormal draws from a log-normal distribution with a mean, bounded by maxOverMean times the
