--- a/coordination/load/ablation_test.go
+++ b/coordination/load/ablation_test.go
@@ -12,63 +12,64 @@
 	"github.com/shallotstep/shallotstep/coordination/owner"
 )
 
-// The table of what each mechanism is worth, printed by
+// TestAblation prints a table of the served value with each mechanism switched off:
 //
 //	go test ./coordination/load -run TestAblation -v -load.ablation
 
-var ablation = flag.Bool("load.ablation", false, "play each day with each mechanism off in turn, and print what was served")
+var ablation = flag.Bool("load.ablation", false, "run each scenario with each mechanism off in turn, and print the share of the value served")
 
 // mechanisms are switched off one at a time.
 var mechanisms = []variant{
 	{"all on", func(*owner.Params) {}},
-	{"late jobs yield", func(p *owner.Params) { p.LateFactor = 0 }},
+	{"late jobs accepted", func(p *owner.Params) { p.LateFactor = 0 }},
 	{"late binding", func(p *owner.Params) { p.MaxPlacementWait = 0 }},
 	{"priorities", func(p *owner.Params) { p.PriorityFactor = 1 }},
-	{"aim share", func(p *owner.Params) { p.ObjectiveShare = 1 }},
-	{"others' orders", func(p *owner.Params) { p.OrderOverlap = 0 }},
-	{"stale news", func(p *owner.Params) { p.StaleLoadAge = time.Hour }},
+	{"objective share", func(p *owner.Params) { p.ObjectiveShare = 1 }},
+	{"order overlap", func(p *owner.Params) { p.OrderOverlap = 0 }},
+	{"stale loads avoided", func(p *owner.Params) { p.StaleLoadAge = time.Hour }},
 	{"reserve for late jobs", func(p *owner.Params) { p.LateReserve = 0 }},
-	{"learned times", func(p *owner.Params) { p.RunTimeWeight = 0 }},
-	{"first jobs wait", func(p *owner.Params) { p.StartupGrace = 0 }},
+	{"learned run times", func(p *owner.Params) { p.RunTimeWeight = 0 }},
+	{"startup grace", func(p *owner.Params) { p.StartupGrace = 0 }},
 }
 
-// ways are other figures for decisions that matter; the first ones are those in use.
-var ways = []variant{
-	{"as it is", func(*owner.Params) {}},
-	{"aim share .65", func(p *owner.Params) { p.ObjectiveShare = 0.65 }},
-	{"aim share .85", func(p *owner.Params) { p.ObjectiveShare = 0.85 }},
-	{"priority share .9", func(p *owner.Params) { p.PriorityFactor = 0.9 }},
-	{"priority share 1", func(p *owner.Params) { p.PriorityFactor = 1 }},
-	{"late answers refused", func(p *owner.Params) { p.LateFactor = 0 }},
-	{"callers' estimates", func(p *owner.Params) { p.RunTimeWeight = 0 }},
-	{"pooled wait 1.4", func(p *owner.Params) { p.PooledWaitFactor = 1.4 }},
-	{"bound within 12 ms", func(p *owner.Params) { p.MaxPlacementWait = 12 * time.Millisecond }},
-	{"bound within 50 ms", func(p *owner.Params) { p.MaxPlacementWait = 50 * time.Millisecond }},
+// alternatives are other values of the parameters that matter most. The first one has the values in
+// use.
+var alternatives = []variant{
+	{"default", func(*owner.Params) {}},
+	{"objective share .65", func(p *owner.Params) { p.ObjectiveShare = 0.65 }},
+	{"objective share .85", func(p *owner.Params) { p.ObjectiveShare = 0.85 }},
+	{"priority factor .9", func(p *owner.Params) { p.PriorityFactor = 0.9 }},
+	{"priority factor 1", func(p *owner.Params) { p.PriorityFactor = 1 }},
+	{"late jobs refused", func(p *owner.Params) { p.LateFactor = 0 }},
+	{"clients' estimates", func(p *owner.Params) { p.RunTimeWeight = 0 }},
+	{"pooled wait factor 1.4", func(p *owner.Params) { p.PooledWaitFactor = 1.4 }},
+	{"placement wait 12 ms", func(p *owner.Params) { p.MaxPlacementWait = 12 * time.Millisecond }},
+	{"placement wait 50 ms", func(p *owner.Params) { p.MaxPlacementWait = 50 * time.Millisecond }},
 }
 
-// days are the loads and faults of the table.
-var days = []struct {
+// scenarios are the loads and faults of the tables.
+var scenarios = []struct {
 	name string
 	setup
 	mix   []class
 	share float64
 	fault func(*world)
 }{
-	{"small .75", small, grown, 0.75, nil},
-	{"small .9", small, grown, 0.9, nil},
-	{"small 1.15", small, grown, 1.15, nil},
-	{"large .9", large, grown, 0.9, nil},
-	{"large 1.15", large, grown, 1.15, nil},
-	{"shifted .9", large, shifted, 0.9, nil},
-	{"shifted 1.15", large, shifted, 1.15, nil},
-	{"wide .9", small, wide, 0.9, nil},
-	{"wide 1.15", small, wide, 1.15, nil},
-	{"burst", small, wide, 0.7, func(w *world) { w.burst(1.8, 2*time.Second) }},
-	{"slow", small, wide, 0.7, func(w *world) { w.slow(2, 6) }},
-	{"hang", small, wide, 0.7, func(w *world) { w.hang(2) }},
-	{"crash", small, wide, 0.7, func(w *world) { w.crash(2) }},
-	{"stale", small, wide, 0.8, func(w *world) { w.deaf(3) }},
-	{"restart", small, wide, 0.7, (*world).restart},
+	{"small .75", small, grownMix, 0.75, nil},
+	{"small .9", small, grownMix, 0.9, nil},
+	{"small 1.15", small, grownMix, 1.15, nil},
+	{"large .9", large, grownMix, 0.9, nil},
+	{"large 1.15", large, grownMix, 1.15, nil},
+	{"shifted .9", large, shiftedMix, 0.9, nil},
+	{"shifted 1.15", large, shiftedMix, 1.15, nil},
+	{"wide .9", small, wideMix, 0.9, nil},
+	{"wide 1.15", small, wideMix, 1.15, nil},
+	{"burst", small, wideMix, 0.7, func(w *world) { w.burst(1.8, 2*time.Second) }},
+	{"slow", small, wideMix, 0.7, func(w *world) { w.slow(2, 6) }},
+	{"hang", small, wideMix, 0.7, func(w *world) { w.hang(2) }},
+	{"crash", small, wideMix, 0.7, func(w *world) { w.crash(2) }},
+	{"stale", small, wideMix, 0.8, func(w *world) { w.delayUpdates(3) }},
+	{"restart", small, wideMix, 0.7, (*world).restart},
 }
 
 func TestAblation(t *testing.T) {
@@ -78,46 +79,46 @@
 	printTable(mechanisms)
 }
 
-// The table of other ways for decisions that matter, printed by
+// TestWays prints the same table for other values of the parameters:
 //
 //	go test ./coordination/load -run TestWays -v -load.ways
 
-var waysTable = flag.Bool("load.ways", false, "play each day with each other way, and print what was served")
+var alternativesTable = flag.Bool("load.ways", false, "run each scenario with each alternative value of a parameter, and print the share of the value served")
 
 func TestWays(t *testing.T) {
-	if !*waysTable {
+	if !*alternativesTable {
 		t.Skip("prints a table with -load.ways")
 	}
-	printTable(ways)
+	printTable(alternatives)
 }
 
-// variant is a change of the figures in use.
+// variant is a change of the parameters in use.
 type variant struct {
-	name string
-	off  func(*owner.Params)
+	name  string
+	apply func(*owner.Params)
 }
 
 func printTable(variants []variant) {
 	table := make([][]string, len(variants))
 	var wg sync.WaitGroup
-	gate := make(chan struct{}, 4)
+	semaphore := make(chan struct{}, 4)
 	for i, m := range variants {
-		table[i] = make([]string, len(days))
-		for k, d := range days {
+		table[i] = make([]string, len(scenarios))
+		for k, d := range scenarios {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				gate <- struct{}{}
-				defer func() { <-gate }()
+				semaphore <- struct{}{}
+				defer func() { <-semaphore }()
 				s := d.setup
-				m.off(&s.params)
-				table[i][k] = cell(s, d.mix, d.share, d.fault)
+				m.apply(&s.params)
+				table[i][k] = tableCell(s, d.mix, d.share, d.fault)
 			}()
 		}
 	}
 	wg.Wait()
 	names := []string{"off"}
-	for _, d := range days {
+	for _, d := range scenarios {
 		names = append(names, d.name)
 	}
 	fmt.Println("| " + strings.Join(names, " | ") + " |")
@@ -127,9 +128,9 @@
 	}
 }
 
-// cell is the mean share of the worth served over the seeds, half the distance between
-// the best and the worst, and the share of the jobs that was not served at all.
-func cell(s setup, mix []class, share float64, fault func(*world)) string {
+// tableCell returns the mean share of the value served over the seeds, half the difference between
+// the best and the worst seed, and the share of the jobs that were not served at all.
+func tableCell(s setup, mix []class, share float64, fault func(*world)) string {
 	var served []float64
 	var asked, lost int
 	for s.seed = range ablationSeeds {
@@ -138,10 +139,10 @@
 		if fault != nil {
 			w.after(time.Second, func() { fault(w) })
 		}
-		w.play(mix, share, 4*time.Second)
+		w.run(mix, share, 4*time.Second)
 		w.runUntil(w.now + 4*time.Second)
-		served = append(served, w.served(mix))
-		for _, t := range w.tally {
+		served = append(served, w.servedValue(mix))
+		for _, t := range w.tallies {
 			asked += t.asked
 			lost += t.refused + t.tooLate
 		}
--- a/coordination/load/crash_test.go
+++ b/coordination/load/crash_test.go
@@ -13,20 +13,21 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// The table of what becomes of tasks that crash their backend servers, and of those beside
-// them, printed by
+// TestCrashPolicies prints a table of what policies against tasks that crash their backend servers
+// cost the other jobs:
 //
 //	go test ./coordination/load -run TestCrashPolicies -v -load.crashes
 
-var crashTable = flag.Bool("load.crashes", false, "play tasks that crash their servers under each policy, and print what became of the others")
+var crashTable = flag.Bool("load.crashes", false, "run tasks that crash their servers under each policy, and print the outcomes of the other jobs")
 
 const (
-	// crashDelay is how long after its start a task crashes its server.
+	// crashDelay is how long after its start a task crashes its backend server.
 	crashDelay = 20 * time.Millisecond
-	// crashAway is how long a crashed server is away.
-	crashAway = 3 * time.Second
-	// patientLimit is how long clients wait whose jobs are judged by what becomes of them.
-	patientLimit = 30 * time.Second
+	// crashDowntime is how long a crashed backend server is down.
+	crashDowntime = 3 * time.Second
+	// patientTimeout is how long clients wait in the tests of tasks that crash backend servers:
+	// long enough for the jobs to be retried.
+	patientTimeout = 30 * time.Second
 )
 
 // crashes reports whether a run crashes its backend server, and counts its start.
@@ -37,28 +38,28 @@
 	}
 	r.starts++
 	if r.lost >= 3 {
-		w.most = max(w.most, r.starts-r.third)
+		w.maxStartsAfterThird = max(w.maxStartsAfterThird, r.starts-r.startsAtThirdLoss)
 	}
 	return true
 }
 
-// crashedBy has a run crash the backend server of that life, if it is still there.
-func (a *agent) crashedBy(run job.RunID, lives int) {
-	if a.dark || a.lives != lives || !a.running[run] {
+// crashedBy makes a run crash the given instance of the backend server, if both are still there.
+func (a *agent) crashedBy(run job.RunID, instance int) {
+	if a.serverDown || a.serverInstance != instance || !a.running[run] {
 		return
 	}
 	r := a.w.jobs[run.Task.Job]
 	r.lost++
 	if r.lost == 3 {
-		r.third = r.starts
+		r.startsAtThirdLoss = r.starts
 	}
-	a.w.lost++
-	a.crash(crashAway)
+	a.w.serversLost++
+	a.crash(crashDowntime)
 }
 
-// sabotage has jobs come whose first task crashes its servers, so many a second.
-func (w *world) sabotage(c *class, perS float64, length time.Duration) (count int) {
-	for at := time.Duration(0); perS > 0 && at < length; at += time.Duration(float64(time.Second) / perS) {
+// submitCrashers submits jobs whose first task crashes its backend servers, and returns how many.
+func (w *world) submitCrashers(c *class, jobsPerSecond float64, length time.Duration) (count int) {
+	for at := time.Duration(0); jobsPerSecond > 0 && at < length; at += time.Duration(float64(time.Second) / jobsPerSecond) {
 		count++
 		w.after(at, func() {
 			r := w.draw(c)
@@ -69,29 +70,31 @@
 	return count
 }
 
-// crashDay is what a day with such tasks came to.
-type crashDay struct {
+// crashResult has the outcomes of load with tasks that crash their backend servers.
+type crashResult struct {
 	served float64
 	late   int
 	asked  int
-	// crashers is the number of the jobs that crash servers, lost that of the servers.
+	// crashers counts the jobs that crash servers, lost the servers that were lost, and givenUp the
+	// other jobs that were given up. most is the maximum number of starts of a task after it had
+	// crashed three servers.
 	crashers, lost, givenUp, most int
 }
 
-func playCrashes(s setup, share, perS float64, days int) crashDay {
-	var out crashDay
+func runCrashers(s setup, share, crashersPerSecond float64, days int) crashResult {
+	var out crashResult
 	for s.seed = range uint64(days) {
 		w := newWorld(s)
 		w.patient = true
 		w.runUntil(w.now + time.Second)
-		out.crashers += w.sabotage(&grown[2], perS, crashLength)
-		w.play(grown, share, crashLength)
+		out.crashers += w.submitCrashers(&grownMix[2], crashersPerSecond, crashLoadDuration)
+		w.run(grownMix, share, crashLoadDuration)
 		w.runUntil(w.now + 20*time.Second)
-		out.served += w.served(grown) / float64(days)
-		out.lost += w.lost
-		out.givenUp += w.givenUp
-		out.most = max(out.most, w.most)
-		for _, t := range w.tally {
+		out.served += w.servedValue(grownMix) / float64(days)
+		out.lost += w.serversLost
+		out.givenUp += w.wronglyGivenUp
+		out.most = max(out.most, w.maxStartsAfterThird)
+		for _, t := range w.tallies {
 			out.late += t.late + t.tooLate + t.refused
 			out.asked += t.asked
 		}
@@ -99,16 +102,16 @@
 	return out
 }
 
-const crashLength = 4 * time.Second
+const crashLoadDuration = 4 * time.Second
 
-// crashPolicies are the ways to judge that were weighed.
+// crashPolicies are the policies that TestCrashPolicies compares. The last but one is in use.
 var crashPolicies = []struct {
 	name string
 	set  func(*owner.Params)
 }{
-	{"no judgement", func(p *owner.Params) { p.CrashesApart, p.CrashesAlone, p.MaxCrashes = 1000, 1000, 1000 }},
-	{"by count alone, two", func(p *owner.Params) { p.CrashesApart, p.CrashesAlone, p.MaxCrashes = 1000, 1000, 2 }},
-	{"by count alone, three", func(p *owner.Params) { p.CrashesApart, p.CrashesAlone, p.MaxCrashes = 1000, 1000, 3 }},
+	{"no limit", func(p *owner.Params) { p.CrashesApart, p.CrashesAlone, p.MaxCrashes = 1000, 1000, 1000 }},
+	{"given up after two", func(p *owner.Params) { p.CrashesApart, p.CrashesAlone, p.MaxCrashes = 1000, 1000, 2 }},
+	{"given up after three", func(p *owner.Params) { p.CrashesApart, p.CrashesAlone, p.MaxCrashes = 1000, 1000, 3 }},
 	{"apart from other suspects", func(p *owner.Params) { p.CrashesAlone = 1000 }},
 	{"apart, then alone", func(*owner.Params) {}},
 	{"alone at once", func(p *owner.Params) { p.CrashesAlone = 1 }},
@@ -121,52 +124,53 @@
 	type row struct {
 		policy      string
 		share, perS float64
-		crashDay
+		crashResult
 	}
 	var rows []*row
-	gate := make(chan struct{}, 3)
+	semaphore := make(chan struct{}, 3)
 	var wg sync.WaitGroup
 	for _, p := range crashPolicies {
 		for _, share := range []float64{.7, .9} {
-			for _, perS := range []float64{0, 1, 5} {
-				if perS == 0 && p.name != crashPolicies[0].name {
+			for _, crashersPerSecond := range []float64{0, 1, 5} {
+				if crashersPerSecond == 0 && p.name != crashPolicies[0].name {
 					continue
 				}
-				r := &row{policy: p.name, share: share, perS: perS}
+				r := &row{policy: p.name, share: share, perS: crashersPerSecond}
 				rows = append(rows, r)
 				wg.Go(func() {
-					gate <- struct{}{}
-					defer func() { <-gate }()
+					semaphore <- struct{}{}
+					defer func() { <-semaphore }()
 					s := large
 					p.set(&s.params)
-					r.crashDay = playCrashes(s, share, perS, 2)
+					r.crashResult = runCrashers(s, share, crashersPerSecond, 2)
 				})
 			}
 		}
 	}
 	wg.Wait()
-	calm := make(map[float64]*row)
+	baseline := make(map[float64]*row)
 	for _, r := range rows {
 		if r.perS == 0 {
-			calm[r.share] = r
+			baseline[r.share] = r
 		}
 	}
-	fmt.Println("| policy | load | crashers a second | served | servers lost each | others late each | others given up | starts after three |")
+	fmt.Println("| policy | load | crashers per second | served | servers lost per crasher | others late per crasher | others given up | starts after third loss |")
 	for _, r := range rows {
 		n := float64(max(r.crashers, 1))
-		late := float64(r.late) - float64(calm[r.share].late)*float64(r.asked)/float64(calm[r.share].asked)
+		late := float64(r.late) - float64(baseline[r.share].late)*float64(r.asked)/float64(baseline[r.share].asked)
 		fmt.Printf("| %s | %.1f | %.0f | %.3f | %.2f | %.1f | %d | %d |\n", r.policy, r.share, r.perS, r.served, float64(r.lost)/n, late/n, r.givenUp, r.most)
 	}
 }
 
-// A task crashes each backend server that starts it, five of them come each second, and
-// each retry took the next server down with all that ran beside it until none was left.
-// Each of them costs three servers at most, and nobody beside them is given up.
+// TestTasksThatCrashServersCostFew guards against retries of a task that crashes each backend
+// server that starts it: every retry takes down another server with all its other runs until none
+// is left. Five such jobs come per second. Each may crash three servers at most, and no other job
+// may be given up.
 func TestTasksThatCrashServersCostFew(t *testing.T) {
 	is := is.New(t)
-	d := playCrashes(large, .7, 5, 1)
+	d := runCrashers(large, .7, 5, 1)
 	t.Logf("%+v", d)
-	is.True(!judged || d.lost <= 3*d.crashers)
+	is.True(!checkBounds || d.lost <= 3*d.crashers)
 	is.Equal(d.givenUp, 0)
 	is.True(d.most <= 2)
 }
--- a/coordination/load/drain_test.go
+++ b/coordination/load/drain_test.go
@@ -10,164 +10,166 @@
 	"github.com/shallotstep/shallotstep/coordination/drains"
 )
 
-// thirds has the agents stand in three failure domains of one size.
-func (w *world) thirds() {
+// assignThirds divides the agents into three failure domains of equal size.
+func (w *world) assignThirds() {
 	for i, a := range w.agents {
 		a.domain = fmt.Sprintf("third-%d", 3*i/len(w.agents))
 	}
 }
 
-// newsOfDrain is how long an entry takes to read a drain; its agents hear with the next frame.
-const newsOfDrain = 10 * time.Millisecond
+// drainReadDelay is how long an entry takes to read a drain. The agents get it with the next frame.
+const drainReadDelay = 10 * time.Millisecond
 
-// drain says which failure domains are drained. With told unset the entries don't know, and
-// the agents alone refuse and say so.
-func (w *world) drain(told bool, domains ...string) {
+// drain sets the drained failure domains. If tellEntries is not set, only the agents get the drain;
+// they refuse orders and report the drain in their loads.
+func (w *world) drain(tellEntries bool, domains ...string) {
 	w.drains = drains.State{Position: w.drains.Position + 1, Domains: domains}
 	state := w.drains
-	w.after(newsOfDrain, func() {
+	w.after(drainReadDelay, func() {
 		for _, e := range w.entries {
-			if told && !e.down {
+			if tellEntries && !e.down {
 				e.fleet.SetDrained(state)
 			}
 		}
 	})
-	w.after(newsOfDrain+hop, func() {
+	w.after(drainReadDelay+frameDelay, func() {
 		for _, a := range w.agents {
 			a.apply(a.DrainDomain(w.now, state.Has(a.domain)))
-			a.spread()
+			a.sendChangedLoads()
 		}
 	})
 }
 
-// coldLasts is how long a server that comes back is cold.
-const coldLasts = 2 * time.Second
+// coldDuration is how long a backend server is cold after its return.
+const coldDuration = 2 * time.Second
 
-// chill has tasks on the servers of a domain take so many times as long for a while. The
-// servers may say so.
-func (w *world) chill(domain string, times float64, told bool) {
+// makeCold multiplies the duration of tasks on the backend servers of a domain by a factor for
+// coldDuration. If reported is set, the servers report that they are cold.
+func (w *world) makeCold(domain string, factor float64, reported bool) {
 	for _, a := range w.agents {
 		if a.domain != domain {
 			continue
 		}
-		a.speed = times
-		if told {
-			a.cold = coldLasts
+		a.durationFactor = factor
+		if reported {
+			a.coldRemaining = coldDuration
 			a.report()
 		}
-		w.after(coldLasts, func() {
-			a.speed, a.cold = 1, 0
+		w.after(coldDuration, func() {
+			a.durationFactor, a.coldRemaining = 1, 0
 			a.report()
 		})
 	}
 }
 
-// drained is a day on which a third of the room is gone for 3 s.
-type drained struct {
+// drainScenario is a load during which a third of the capacity is drained for 3 s.
+type drainScenario struct {
 	setup
 	share float64
-	// untold entries are not told of the drain; only their agents know.
-	untold bool
-	// cold is how many times as long tasks take at first when the room is back, and hidden
-	// that the servers don't say so.
-	cold   float64
-	hidden bool
+	// entriesUntold is set if only the agents get the drain.
+	entriesUntold bool
+	// coldFactor is how many times as long tasks take at first when the drain has ended.
+	// coldUnreported is set if the servers don't report that they are cold.
+	coldFactor     float64
+	coldUnreported bool
 }
 
-// settles is how long after a change what has begun before it is left out.
-const settles = 700 * time.Millisecond
+// settleTime is how long after a change outcomes are not counted, because most jobs that end then
+// were submitted before the change.
+const settleTime = 700 * time.Millisecond
 
-// play returns the mean share of the worth that is served while the room is gone, and after.
-func (d drained) play(mix []class) (during, after float64) {
+// run returns the mean share of the value that is served during the drain, and after it.
+func (d drainScenario) run(mix []class) (during, after float64) {
 	for d.seed = range uint64(drainSeeds) {
 		w := newWorld(d.setup)
-		w.thirds()
+		w.assignThirds()
 		w.runUntil(w.now + time.Second)
-		w.after(time.Second, func() { w.drain(!d.untold, "third-1") })
-		w.after(time.Second+settles, func() { w.tally = make(map[string]*tally) })
+		w.after(time.Second, func() { w.drain(!d.entriesUntold, "third-1") })
+		w.after(time.Second+settleTime, func() { w.tallies = make(map[string]*tally) })
 		w.after(4*time.Second, func() {
-			during += w.served(mix) / drainSeeds
-			if d.cold > 1 {
-				w.chill("third-1", d.cold, !d.hidden)
+			during += w.servedValue(mix) / drainSeeds
+			if d.coldFactor > 1 {
+				w.makeCold("third-1", d.coldFactor, !d.coldUnreported)
 			}
-			w.drain(!d.untold)
+			w.drain(!d.entriesUntold)
 		})
-		w.after(4*time.Second+settles, func() { w.tally = make(map[string]*tally) })
-		w.play(mix, d.share, 6*time.Second)
+		w.after(4*time.Second+settleTime, func() { w.tallies = make(map[string]*tally) })
+		w.run(mix, d.share, 6*time.Second)
 		w.runUntil(w.now + 3*time.Second)
-		after += w.served(mix) / drainSeeds
+		after += w.servedValue(mix) / drainSeeds
 	}
 	return during, after
 }
 
-// withoutThird is the share of the worth that a fleet serves which has been without a third
-// of its room from the start.
+// withoutThird returns the mean share of the value that is served if a third of the capacity is
+// drained from the start.
 func withoutThird(s setup, mix []class, share float64) float64 {
 	var served float64
 	for s.seed = range uint64(drainSeeds) {
 		w := newWorld(s)
-		w.thirds()
+		w.assignThirds()
 		w.runUntil(w.now + 500*time.Millisecond)
 		w.drain(true, "third-1")
 		w.runUntil(w.now + 500*time.Millisecond)
-		w.after(time.Second+settles, func() { w.tally = make(map[string]*tally) })
-		w.play(mix, share, 4*time.Second)
-		served += w.served(mix) / drainSeeds
+		w.after(time.Second+settleTime, func() { w.tallies = make(map[string]*tally) })
+		w.run(mix, share, 4*time.Second)
+		served += w.servedValue(mix) / drainSeeds
 	}
 	return served
 }
 
 const drainSeeds = 2
 
-// drainFleet is the fleet on which drains are judged, and the loads; a small one is enough
-// for races.
+// drainFleet returns the fleet and the loads with which drains are tested. A small fleet is enough
+// to find data races.
 func drainFleet() (setup, []float64) {
-	if judged {
+	if checkBounds {
 		return large, []float64{.7, .9}
 	}
 	return small, []float64{.7}
 }
 
-// Guards against a drain that costs callers more than the room that is gone: a third of the
-// workers is drained for three seconds.
+// TestDrainCostsTheRoomThatIsGone guards against a drain that costs clients more than the capacity
+// that is drained. A third of the workers is drained for three seconds.
 func TestDrainCostsTheRoomThatIsGone(t *testing.T) {
 	is := is.New(t)
 	fleet, loads := drainFleet()
 	for _, share := range loads {
-		during, after := drained{setup: fleet, share: share}.play(grown)
-		untold, untoldAfter := drained{setup: fleet, share: share, untold: true}.play(grown)
-		steady := withoutThird(fleet, grown, share)
-		t.Logf("load %.1f: during %.3f (entries untold %.3f, without the third from the start %.3f), after %.3f (untold %.3f)", share, during, untold, steady, after, untoldAfter)
-		is.True(!judged || during > steady-0.03)
+		during, after := drainScenario{setup: fleet, share: share}.run(grownMix)
+		untold, untoldAfter := drainScenario{setup: fleet, share: share, entriesUntold: true}.run(grownMix)
+		steady := withoutThird(fleet, grownMix, share)
+		t.Logf("load %.1f: during %.3f (entries not told %.3f, drained from the start %.3f), after %.3f (entries not told %.3f)", share, during, untold, steady, after, untoldAfter)
+		is.True(!checkBounds || during > steady-0.03)
 	}
 }
 
-// Guards against servers that come back cold all at once, are given their full part of the
-// work and make all of it late.
+// TestDomainThatComesBackColdIsNotOverrun guards against overload of backend servers that return
+// cold all at once: if they get their full part of the work, all of it is late.
 func TestDomainThatComesBackColdIsNotOverrun(t *testing.T) {
 	is := is.New(t)
 	fleet, loads := drainFleet()
 	for _, share := range loads {
 		for _, cold := range []float64{2, 3} {
-			_, said := drained{setup: fleet, share: share, cold: cold}.play(grown)
-			_, hidden := drained{setup: fleet, share: share, cold: cold, hidden: true}.play(grown)
-			t.Logf("load %.1f, %.1f times as long: after %.3f (if servers don't say so %.3f)", share, cold, said, hidden)
-			is.True(!judged || share > 0.8 || said > hidden)
+			_, reported := drainScenario{setup: fleet, share: share, coldFactor: cold}.run(grownMix)
+			_, unreported := drainScenario{setup: fleet, share: share, coldFactor: cold, coldUnreported: true}.run(grownMix)
+			t.Logf("load %.1f, %.1f times as long: after %.3f (if servers don't report it %.3f)", share, cold, reported, unreported)
+			is.True(!checkBounds || share > 0.8 || reported > unreported)
 		}
 	}
 }
 
-// Guards against starts in a drained domain under load, whoever knows of the drain.
+// TestNothingStartsInADrainedThird guards against starts in a drained domain under load, whether or
+// not the entries know of the drain.
 func TestNothingStartsInADrainedThird(t *testing.T) {
 	is := is.New(t)
 	for _, told := range []bool{true, false} {
 		w := newWorld(small)
-		w.thirds()
+		w.assignThirds()
 		w.runUntil(w.now + time.Second)
 		w.after(time.Second, func() { w.drain(told, "third-1") })
 		var before int64
 		w.after(1100*time.Millisecond, func() { before = w.startsIn("third-1") })
-		w.play(grown, 0.9, 3*time.Second)
+		w.run(grownMix, 0.9, 3*time.Second)
 		is.Equal(w.startsIn("third-1"), before)
 	}
 }
--- a/coordination/load/faults_test.go
+++ b/coordination/load/faults_test.go
@@ -6,30 +6,30 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// faultLasts is how long most faults last.
-const faultLasts = 1500 * time.Millisecond
+// faultDuration is how long most faults last.
+const faultDuration = 1500 * time.Millisecond
 
-// burst has more of the most urgent class come, times times as much, for a time.
-func (w *world) burst(times float64, length time.Duration) {
-	w.times = times
-	w.after(length, func() { w.times = 1 })
+// burst multiplies the rate of jobs by a factor for a time.
+func (w *world) burst(factor float64, length time.Duration) {
+	w.burstFactor = factor
+	w.after(length, func() { w.burstFactor = 1 })
 }
 
-// slow has some backend servers take longer.
-func (w *world) slow(count int, times float64) {
+// slow multiplies the duration of tasks on the first count backend servers by a factor.
+func (w *world) slow(count int, factor float64) {
 	for _, a := range w.agents[:count] {
-		a.speed = times
-		w.after(faultLasts, func() { a.speed = 1 })
+		a.durationFactor = factor
+		w.after(faultDuration, func() { a.durationFactor = 1 })
 	}
 }
 
-// hang has tasks on some backend servers stand still: what is started there does not
-// end until the fault is over.
+// hang makes tasks hang on the first count backend servers: tasks started there don't end until the
+// fault is over.
 func (w *world) hang(count int) {
 	for _, a := range w.agents[:count] {
-		a.hangs = true
-		w.after(faultLasts, func() {
-			a.hangs = false
+		a.tasksHang = true
+		w.after(faultDuration, func() {
+			a.tasksHang = false
 			for run := range a.running {
 				a.end(run, job.Done)
 			}
@@ -37,40 +37,39 @@
 	}
 }
 
-// crash ends some backend servers with all that runs there, and brings empty ones.
+// crash crashes the first count backend servers for half a second.
 func (w *world) crash(count int) {
 	for _, a := range w.agents[:count] {
 		a.crash(500 * time.Millisecond)
 	}
 }
 
-// crash ends an agent's backend server with all that runs there, and brings an empty one
-// in its place.
-func (a *agent) crash(away time.Duration) {
-	if a.dark {
+// crash ends the instance of an agent's backend server with all its runs, and starts another one
+// after downtime.
+func (a *agent) crash(downtime time.Duration) {
+	if a.serverDown {
 		return
 	}
 	clear(a.running)
-	a.ends, a.ended = nil, 0
-	a.dark = true
-	a.lives++
-	a.w.after(away, func() {
-		a.dark = false
+	a.ends, a.lastEndSeq = nil, 0
+	a.serverDown = true
+	a.serverInstance++
+	a.w.after(downtime, func() {
+		a.serverDown = false
 		a.report()
 	})
 }
 
-// deaf delays the news that some agents tell of their load.
-func (w *world) deaf(count int) {
+// delayUpdates delays the loads and events that the first count agents send.
+func (w *world) delayUpdates(count int) {
 	for _, a := range w.agents[:count] {
-		a.deaf = true
-		w.after(faultLasts, func() { a.deaf = false })
+		a.slowUpdates = true
+		w.after(faultDuration, func() { a.slowUpdates = false })
 	}
 }
 
-// restart ends all entries and agents, and starts them again half a second later. The
-// backend servers go on until their leases end. Clients whose jobs were cut off send
-// them again.
+// restart stops all entries and agents, and starts them again half a second later. The backend
+// servers go on until their leases expire. Clients whose connections were lost resend their jobs.
 func (w *world) restart() {
 	for _, e := range w.entries {
 		e.down = true
@@ -78,29 +77,29 @@
 	for _, a := range w.agents {
 		a.down = true
 	}
-	w.after(restartTakes, func() {
+	w.after(restartDuration, func() {
 		for _, a := range w.agents {
-			a.begin()
+			a.start()
 		}
 		for _, e := range w.entries {
-			e.begin()
+			e.start()
 		}
-		w.resend()
+		w.resendCutOff()
 	})
 }
 
 const (
-	restartTakes = 500 * time.Millisecond
-	// resendAfter is the clients' pause after they were cut off.
-	resendAfter = 1300 * time.Millisecond
+	restartDuration = 500 * time.Millisecond
+	// resendDelay is how long clients wait before they resend a job after a lost connection.
+	resendDelay = 1300 * time.Millisecond
 )
 
-// resend has clients whose tries were cut off come again.
-func (w *world) resend() {
+// resendCutOff resends the jobs whose clients lost their connection in a restart.
+func (w *world) resendCutOff() {
 	for _, r := range w.jobs {
 		if r.ended || r.entry == nil {
 			continue
 		}
-		w.after(resendAfter-restartTakes, func() { w.send(r) })
+		w.after(resendDelay-restartDuration, func() { w.send(r) })
 	}
 }
--- a/coordination/load/mix_test.go
+++ b/coordination/load/mix_test.go
@@ -10,219 +10,233 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// class is a kind of request: all its jobs have one step.
+// class describes the jobs of one queue, which all have one step.
 type class struct {
-	queue    string
-	perS     float64
-	width    float64
-	work     time.Duration
-	cpu      int64
-	worth    float64
-	priority int
+	queue         string
+	jobsPerSecond float64
+	meanTasks     float64
+	meanWork      time.Duration
+	cpuMillis     int64
+	value         float64
+	priority      int
 }
 
-// grown is the mix of the users' grown sites, of 922 jobs a second on 59 agents,
-// for one agent.
-var grown = []class{
-	{queue: "short", perS: 223. / 55, width: 8, work: 60 * time.Millisecond, cpu: 1300, worth: 0.00485},
-	{queue: "long", perS: 50.7 / 55, width: 4, work: 900 * time.Millisecond, cpu: 1300, worth: 0.0267, priority: 2},
-	{queue: "usual", perS: 648. / 55, width: 2, work: 200 * time.Millisecond, cpu: 1300, worth: 0.00167, priority: 1},
+// grownMix is the mix of a site that has grown to 922 jobs per second on 59 agents. The rates of
+// this and the other mixes are for one agent.
+var grownMix = []class{
+	{queue: "short", jobsPerSecond: 223. / 55, meanTasks: 8, meanWork: 60 * time.Millisecond, cpuMillis: 1300, value: 0.00485},
+	{queue: "long", jobsPerSecond: 50.7 / 55, meanTasks: 4, meanWork: 900 * time.Millisecond, cpuMillis: 1300, value: 0.0267, priority: 2},
+	{queue: "usual", jobsPerSecond: 648. / 55, meanTasks: 2, meanWork: 200 * time.Millisecond, cpuMillis: 1300, value: 0.00167, priority: 1},
 }
 
-// shifted is the mix of a site whose work has changed to longer jobs, of 717 jobs a second on
-// 51 agents.
-var shifted = []class{
-	{queue: "short", perS: 166. / 51, width: 8, work: 60 * time.Millisecond, cpu: 1200, worth: 0.00485},
-	{queue: "long", perS: 65.8 / 51, width: 4, work: 900 * time.Millisecond, cpu: 1200, worth: 0.0267, priority: 2},
-	{queue: "usual", perS: 485. / 51, width: 2, work: 200 * time.Millisecond, cpu: 1200, worth: 0.00167, priority: 1},
+// shiftedMix is the mix of a site whose work has shifted to longer jobs: 717 jobs per second on 51
+// agents.
+var shiftedMix = []class{
+	{queue: "short", jobsPerSecond: 166. / 51, meanTasks: 8, meanWork: 60 * time.Millisecond, cpuMillis: 1200, value: 0.00485},
+	{queue: "long", jobsPerSecond: 65.8 / 51, meanTasks: 4, meanWork: 900 * time.Millisecond, cpuMillis: 1200, value: 0.0267, priority: 2},
+	{queue: "usual", jobsPerSecond: 485. / 51, meanTasks: 2, meanWork: 200 * time.Millisecond, cpuMillis: 1200, value: 0.00167, priority: 1},
 }
 
-// wide is the mix of the users' sites with larger tasks, of which ten fill a worker, of
-// 140 jobs a second on 11 agents.
-var wide = []class{
-	{queue: "short", perS: 34.4 / 11, width: 8, work: 60 * time.Millisecond, cpu: 1550, worth: 0.0291},
-	{queue: "long", perS: 6.25 / 11, width: 4, work: 900 * time.Millisecond, cpu: 1550, worth: 0.16, priority: 2},
-	{queue: "usual", perS: 100. / 11, width: 2, work: 200 * time.Millisecond, cpu: 1550, worth: 0.01, priority: 1},
+// wideMix is the mix of sites with larger tasks, of which ten fill a worker: 140 jobs per second on
+// 11 agents.
+var wideMix = []class{
+	{queue: "short", jobsPerSecond: 34.4 / 11, meanTasks: 8, meanWork: 60 * time.Millisecond, cpuMillis: 1550, value: 0.0291},
+	{queue: "long", jobsPerSecond: 6.25 / 11, meanTasks: 4, meanWork: 900 * time.Millisecond, cpuMillis: 1550, value: 0.16, priority: 2},
+	{queue: "usual", jobsPerSecond: 100. / 11, meanTasks: 2, meanWork: 200 * time.Millisecond, cpuMillis: 1550, value: 0.01, priority: 1},
 }
 
-// halls is the mix of the users' large site, of 1,385 jobs a second on 160 agents.
-var halls = []class{
-	{queue: "short", perS: 334. / 160, width: 8, work: 60 * time.Millisecond, cpu: 2500, worth: 0.00323},
-	{queue: "long", perS: 75.8 / 160, width: 4, work: 900 * time.Millisecond, cpu: 2500, worth: 0.0178, priority: 2},
-	{queue: "usual", perS: 972. / 160, width: 2, work: 200 * time.Millisecond, cpu: 2500, worth: 0.00111, priority: 1},
+// largeSiteMix is the mix of a large site: 1,385 jobs per second on 160 agents.
+var largeSiteMix = []class{
+	{queue: "short", jobsPerSecond: 334. / 160, meanTasks: 8, meanWork: 60 * time.Millisecond, cpuMillis: 2500, value: 0.00323},
+	{queue: "long", jobsPerSecond: 75.8 / 160, meanTasks: 4, meanWork: 900 * time.Millisecond, cpuMillis: 2500, value: 0.0178, priority: 2},
+	{queue: "usual", jobsPerSecond: 972. / 160, meanTasks: 2, meanWork: 200 * time.Millisecond, cpuMillis: 2500, value: 0.00111, priority: 1},
 }
 
-// coresPerAgent is what these jobs keep at work on each agent.
+// coresPerAgent returns the mean number of cores that a mix occupies on each agent.
 func coresPerAgent(mix []class) float64 {
 	var cores float64
 	for _, c := range mix {
-		cores += c.perS * c.width * c.work.Seconds() * float64(c.cpu) / 1000
+		cores += c.jobsPerSecond * c.meanTasks * c.meanWork.Seconds() * float64(c.cpuMillis) / 1000
 	}
 	return cores
 }
 
 // request is a job as its client sees it.
 type request struct {
-	id    job.ID
-	class *class
-	step  job.Step
-	at    time.Duration
-	works []time.Duration
-	aim   time.Duration
-	// entry has taken the last try; ended is set once the client has an answer, or
-	// waits no more.
+	id          job.ID
+	class       *class
+	step        job.Step
+	submittedAt time.Duration
+	taskWork    []time.Duration
+	objective   time.Duration
+	// entry got the last submission. ended is set once the client has a response or has stopped
+	// waiting.
 	entry *entry
 	ended bool
-	// patient clients wait for as long as a recorded job does.
+	// patient makes the client wait for patientTimeout.
 	patient bool
-	// crashes is set where the job's first task crashes each backend server that starts
-	// it, and starts and lost count its starts and the servers lost under it.
+	// crashes is set if the job's first task crashes each backend server that starts it. starts and
+	// lost count the starts of that task and the servers it has crashed.
 	crashes      bool
 	starts, lost int
-	// third is the number of starts when the third server was lost.
-	third int
+	// startsAtThirdLoss is the number of starts when the third server was lost.
+	startsAtThirdLoss int
 }
 
-// tally counts what became of a class's jobs.
+// tally counts the outcomes of jobs: asked is their total, inAim counts those that ended within
+// their objective, late those that ended after it but were still of use, and tooLate those that
+// ended too late to be of use or failed.
 type tally struct{ asked, inAim, late, refused, tooLate int }
 
 const (
-	spreadOfWork  = 0.4
-	spreadOfWidth = 0.4
-	spreadInJob   = 0.15
-	spreadOfGuess = 0.4
+	// The spreads are standard deviations of the logarithm: of a job's mean work, of its number of
+	// tasks, of the work of its tasks, and of the estimate that the client gives.
+	workSpread      = 0.4
+	taskCountSpread = 0.4
+	workSpreadInJob = 0.15
+	estimateSpread  = 0.4
+	// A job's objective is slackFactor times its longest task, plus targetLatency.
 	slackFactor   = 1.6
-	target        = 60 * time.Millisecond
-	timesOverAim  = 3
-	shortestLimit = 1500 * time.Millisecond
-	largestFactor = 4
+	targetLatency = 60 * time.Millisecond
+	// lateFactor is how many times its objective a job may take before its result is of no use.
+	lateFactor = 3
+	// minTimeout is the part of a client's timeout that doesn't depend on the job's objective.
+	minTimeout = 1500 * time.Millisecond
+	// maxOverMean bounds random values, as a multiple of their mean.
+	maxOverMean = 4
 )
 
-// around draws a figure about a mean, log-normal and bounded.
-func (w *world) around(mean, spread float64) float64 {
+// logNormal draws from a log-normal distribution with a mean, bounded by maxOverMean times the
+// mean.
+func (w *world) logNormal(mean, spread float64) float64 {
 	x := mean * math.Exp(spread*w.rand.NormFloat64()-spread*spread/2)
-	return min(x, largestFactor*mean)
+	return min(x, maxOverMean*mean)
 }
 
 func (w *world) work(run job.RunID) time.Duration {
-	return w.jobs[run.Task.Job].works[run.Task.Index]
+	return w.jobs[run.Task.Job].taskWork[run.Task.Index]
 }
 
-// arrive draws a job and sends it to an entry.
+// arrive draws a job of a class and submits it.
 func (w *world) arrive(c *class) { w.submit(w.draw(c)) }
 
-// draw returns a job.
+// draw returns a random job of a class.
 func (w *world) draw(c *class) *request {
-	mean := w.around(float64(c.work), spreadOfWork)
-	n := max(1, int(math.Round(w.around(c.width, spreadOfWidth))))
-	r := &request{class: c, at: w.now, patient: w.patient, id: job.ID(fmt.Sprintf("%016x", len(w.jobs)+1))}
+	mean := w.logNormal(float64(c.meanWork), workSpread)
+	n := max(1, int(math.Round(w.logNormal(c.meanTasks, taskCountSpread))))
+	r := &request{class: c, submittedAt: w.now, patient: w.patient, id: job.ID(fmt.Sprintf("%016x", len(w.jobs)+1))}
 	for range n {
-		r.works = append(r.works, time.Duration(w.around(mean, spreadInJob)))
+		r.taskWork = append(r.taskWork, time.Duration(w.logNormal(mean, workSpreadInJob)))
 	}
-	r.aim = time.Duration(slackFactor*float64(slices.Max(r.works))) + target
+	r.objective = time.Duration(slackFactor*float64(slices.Max(r.taskWork))) + targetLatency
 	r.step = job.Step{
-		Count: n, Demand: job.Demand{CPUMillis: c.cpu, MemoryMB: 64}, Estimate: time.Duration(w.around(mean, spreadOfGuess)),
+		Count: n, Demand: job.Demand{CPUMillis: c.cpuMillis, MemoryMB: 64}, Estimate: time.Duration(w.logNormal(mean, estimateSpread)),
 	}
 	return r
 }
 
-// submit sends a job to an entry.
+// submit sends a job to an entry. If there is no response within the job's timeout, the client
+// abandons the job.
 func (w *world) submit(r *request) {
 	w.jobs[r.id] = r
 	w.send(r)
-	w.after(r.limit(), func() {
+	w.after(r.timeout(), func() {
 		if r.ended {
 			return
 		}
-		w.note(r, owner.Response{Outcome: owner.Unknown})
+		w.record(r, owner.Response{Outcome: owner.Unknown})
 		if e := r.entry; e != nil && !e.down {
 			e.apply(e.Abandon(w.now, r.id))
 		}
 	})
 }
 
-// limit is how long the client waits in all; it names what is left with each try.
-func (r *request) limit() time.Duration {
+// timeout returns how long the client waits in total. Each submission carries the time that is
+// left.
+func (r *request) timeout() time.Duration {
 	if r.patient {
-		return patientLimit
+		return patientTimeout
 	}
-	return shortestLimit + timesOverAim*r.aim
+	return minTimeout + lateFactor*r.objective
 }
 
-// busyShare is what the first entry gets beyond its part where the traffic is uneven: about
-// three times as much as each of seven others.
+// busyShare is the share of the jobs that uneven traffic sends to the first entry beyond its even
+// part. With seven other entries, the first one gets about three times as many jobs as each of
+// them.
 const busyShare = 0.16
 
-// send makes a try at a random entry. One that is down takes no connection.
+// send submits a job to a random entry. If that entry is down, the job is sent again after
+// resendDelay.
 func (w *world) send(r *request) {
-	left := r.at + r.limit() - w.now
+	left := r.submittedAt + r.timeout() - w.now
 	if r.ended || left <= 0 {
 		return
 	}
 	e := w.entries[w.rand.IntN(len(w.entries))]
-	if w.uneven && w.rand.Float64() < busyShare {
+	if w.unevenTraffic && w.rand.Float64() < busyShare {
 		e = w.entries[0]
 	}
 	if e.down {
-		w.after(resendAfter, func() { w.send(r) })
+		w.after(resendDelay, func() { w.send(r) })
 		return
 	}
 	c := r.class
 	spec := job.Spec{BestEffort: true, ClientTimeout: left, Steps: []job.Step{r.step}}
-	policy := job.Policy{Queue: c.queue, Service: service, Priority: c.priority, MaxAttempts: 3, Slack: slackFactor, Target: target, RequestTimeout: shortestLimit}
+	policy := job.Policy{Queue: c.queue, Service: service, Priority: c.priority, MaxAttempts: 3, Slack: slackFactor, Target: targetLatency, RequestTimeout: minTimeout}
 	r.entry = e
-	life := e.life
+	incarnation := e.incarnation
 	e.apply(e.Submit(w.now, r.id, spec, policy, func(v owner.Response) {
-		if !r.ended && e.life == life {
-			w.note(r, v)
+		if !r.ended && e.incarnation == incarnation {
+			w.record(r, v)
 		}
 	}))
 }
 
-func (w *world) note(r *request, v owner.Response) {
+// record counts the outcome of a job.
+func (w *world) record(r *request, v owner.Response) {
 	if r.crashes {
 		r.ended = true
-		return // it can't be done
+		return // jobs that crash their servers can't complete and are not counted
 	}
 	if v.Outcome == owner.OK && v.State == job.Failed {
-		w.givenUp++
+		w.wronglyGivenUp++
 	}
-	t := w.tally[r.class.queue]
+	t := w.tallies[r.class.queue]
 	if t == nil {
 		t = &tally{}
-		w.tally[r.class.queue] = t
+		w.tallies[r.class.queue] = t
 	}
-	took := w.now - r.at
+	elapsed := w.now - r.submittedAt
 	r.ended = true
 	if r.entry == w.entries[0] {
-		w.busy.asked++
-		if v.Outcome == owner.OK && v.State == job.Completed && took <= r.aim {
-			w.busy.inAim++
+		w.busyEntry.asked++
+		if v.Outcome == owner.OK && v.State == job.Completed && elapsed <= r.objective {
+			w.busyEntry.inAim++
 		}
 	}
 	t.asked++
 	switch {
 	case v.Outcome == owner.Refused:
 		t.refused++
-	case v.Outcome != owner.OK || v.State != job.Completed || took > timesOverAim*r.aim:
+	case v.Outcome != owner.OK || v.State != job.Completed || elapsed > lateFactor*r.objective:
 		t.tooLate++
-	case took > r.aim:
+	case elapsed > r.objective:
 		t.late++
 	default:
 		t.inAim++
 	}
 }
 
-// play sends a mix at a share of what the agents carry, for a time.
-func (w *world) play(mix []class, share float64, length time.Duration) {
-	var room float64
+// run submits the jobs of a mix at a share of the agents' capacity for a time.
+func (w *world) run(mix []class, share float64, length time.Duration) {
+	var totalCores float64
 	for i := range w.agents {
-		room += 16
+		totalCores += 16
 		if i%3 == 2 {
-			room += 8
+			totalCores += 8
 		}
 	}
-	scale := share * room / coresPerAgent(mix)
+	scale := share * totalCores / coresPerAgent(mix)
 	end := w.now + length
 	for i := range mix {
 		c := &mix[i]
@@ -232,30 +246,31 @@
 				return
 			}
 			w.arrive(c)
-			w.after(time.Duration(w.rand.ExpFloat64()/(c.perS*scale*w.times)*float64(time.Second)), next)
+			w.after(time.Duration(w.rand.ExpFloat64()/(c.jobsPerSecond*scale*w.burstFactor)*float64(time.Second)), next)
 		}
 		w.after(0, next)
 	}
 	w.runUntil(end)
 }
 
-// served is the share of the worth that was served, late answers at a fifth.
-func (w *world) served(mix []class) float64 {
-	var got, owed float64
+// servedValue returns the share of the value of all jobs that was served. Late responses count a
+// fifth.
+func (w *world) servedValue(mix []class) float64 {
+	var gained, possible float64
 	for _, c := range mix {
-		t := w.tally[c.queue]
+		t := w.tallies[c.queue]
 		if t == nil {
 			continue
 		}
-		got += c.worth * (float64(t.inAim) + 0.2*float64(t.late))
-		owed += c.worth * float64(t.asked)
+		gained += c.value * (float64(t.inAim) + 0.2*float64(t.late))
+		possible += c.value * float64(t.asked)
 	}
-	return got / owed
+	return gained / possible
 }
 
 func (t tally) plus(o *tally) tally {
 	return tally{t.asked + o.asked, t.inAim + o.inAim, t.late + o.late, t.refused + o.refused, t.tooLate + o.tooLate}
 }
 
-// share is the part that ended in time.
-func (t tally) share() float64 { return float64(t.inAim) / float64(t.asked) }
+// inTimeShare returns the share of the jobs that ended within their objective.
+func (t tally) inTimeShare() float64 { return float64(t.inAim) / float64(t.asked) }
--- a/coordination/load/size_test.go
+++ b/coordination/load/size_test.go
@@ -12,35 +12,36 @@
 	"github.com/shallotstep/shallotstep/coordination/owner"
 )
 
-// The table of what size and subsets do to the decisions, printed by
+// TestSizes prints a table of the outcomes by the size of the fleet and of the entries' subsets:
 //
 //	go test ./coordination/load -run TestSizes -v -load.sizes
 
-var sizes = flag.Bool("load.sizes", false, "play the large mix at many sizes of the fleet and of the subsets, and print what was served")
+var sizes = flag.Bool("load.sizes", false, "run the mix of a large site with many sizes of the fleet and of the subsets, and print the outcomes")
 
-// linksPerEntry is the default of the settings.
+// linksPerEntry is the value of "links" in deploy/settings.jsonc.
 const linksPerEntry = 32
 
-// fleet is a size of the large site's kind.
+// fleet returns a setup of the given size with default parameters.
 func fleet(entries, agents, links int) setup {
-	return setup{entries: entries, agents: agents, spreadCost: spreadCost, params: owner.DefaultParams(), links: links}
+	return setup{entries: entries, agents: agents, pausePerPlacer: pausePerPlacer, params: owner.DefaultParams(), links: links}
 }
 
-// played is what became of the jobs of some days of one kind.
-type played struct {
+// outcomeShares has the share of the value that was served, and the outcomes as shares of all jobs.
+type outcomeShares struct {
 	served, inTime, late, refused, tooLate float64
 }
 
-func (s setup) day(mix []class, share float64, days int) played {
+// runShares runs a mix at a share of the agents' capacity, days times with different seeds.
+func (s setup) runShares(mix []class, share float64, days int) outcomeShares {
 	var sum tally
-	var out played
+	var out outcomeShares
 	for s.seed = range uint64(days) {
 		w := newWorld(s)
 		w.runUntil(w.now + time.Second)
-		w.play(mix, share, 3*time.Second)
+		w.run(mix, share, 3*time.Second)
 		w.runUntil(w.now + 4*time.Second)
-		out.served += w.served(mix) / float64(days)
-		for _, t := range w.tally {
+		out.served += w.servedValue(mix) / float64(days)
+		for _, t := range w.tallies {
 			sum = sum.plus(t)
 		}
 	}
@@ -50,7 +51,7 @@
 	return out
 }
 
-func (p played) String() string {
+func (p outcomeShares) String() string {
 	return fmt.Sprintf("%.3f | %.3f | %.3f | %.3f | %.3f", p.served, p.inTime, p.late, p.refused, p.tooLate)
 }
 
@@ -70,45 +71,46 @@
 		{.9, fleet(8, 51, 0)}, {.9, fleet(8, 51, 32)},
 		{.9, fleet(216, 992, 32)},
 	}
-	drawn := fleet(35, 160, 32)
-	drawn.drawn = true
+	fallback := fleet(35, 160, 32)
+	fallback.fallbackBuckets = true
 	rows = append(rows, struct {
 		share float64
 		setup
-	}{.9, drawn})
-	out := make([]played, len(rows))
-	gate := make(chan struct{}, 3)
+	}{.9, fallback})
+	out := make([]outcomeShares, len(rows))
+	semaphore := make(chan struct{}, 3)
 	var wg sync.WaitGroup
 	for i, r := range rows {
 		wg.Go(func() {
-			gate <- struct{}{}
-			defer func() { <-gate }()
-			out[i] = r.day(halls, r.share, 2)
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			out[i] = r.runShares(largeSiteMix, r.share, 2)
 		})
 	}
 	wg.Wait()
 	fmt.Println("| load | entries x agents | links of each entry | served | in time | late | refused | too late |")
 	for i, r := range rows {
 		how := ""
-		if r.drawn {
-			how = ", drawn"
+		if r.fallbackBuckets {
+			how = ", fallback buckets"
 		}
 		fmt.Printf("| %.2f | %d x %d | %d%s | %v |\n", r.share, r.entries, r.agents, r.linksOrAll(), how, out[i])
 	}
 }
 
-// Thirty-five entries that each link all agents promise the same room many times over:
-// a third of the jobs came late at 90 % of load, where five entries had one in thirty
-// late. With links to a subset the share in time is that of a few entries, at any size.
+// TestShareInTimeDoesNotFallWithSize guards against many entries that count on the same free
+// capacity. If 35 entries each link all agents, a third of the jobs are late at 90 % load; with
+// five entries it is one in thirty. With links to a subset of the agents, the share in time has to
+// be that of five entries at any size.
 func TestShareInTimeDoesNotFallWithSize(t *testing.T) {
 	is := is.New(t)
-	few := fleet(5, 51, linksPerEntry).day(halls, .9, sizeDays)
+	few := fleet(5, 51, linksPerEntry).runShares(largeSiteMix, .9, sizeSeeds)
 	for _, s := range []setup{fleet(13, 70, linksPerEntry), fleet(35, 160, linksPerEntry)} {
-		got := s.day(halls, .9, sizeDays)
+		got := s.runShares(largeSiteMix, .9, sizeSeeds)
 		t.Logf("%d x %d: %v; 5 entries: %v", s.entries, s.agents, got, few)
-		is.True(!judged || got.inTime > few.inTime-0.03)
+		is.True(!checkBounds || got.inTime > few.inTime-0.03)
 	}
 }
 
-// sizeDays is how many days a size is judged by.
-const sizeDays = 2
+// sizeSeeds is the number of simulated days behind the figures of a size.
+const sizeSeeds = 2
--- a/coordination/model/agent_test.go
+++ b/coordination/model/agent_test.go
@@ -10,107 +10,112 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// agentModel drives one backend server's books.
+// agentModel simulates an agent: it drives the worker.Worker of one backend server.
 type agentModel struct {
 	w      *world
 	name   string
 	worker *worker.Worker
-	exec   *executor
-	// life numbers the processes; it is the fencing token.
-	life int64
-	down bool
-	born time.Duration
-	thaw time.Duration
-	// until then only one owner reaches it, or none.
-	until time.Duration
-	loyal *ownerModel
-	// caller is the link of the shard's owner.
-	caller *link
-	claims worker.Claim
-	drains drainView
+	server *serverModel
+	// incarnation numbers the agent's processes. It is the fencing token of calls to the backend
+	// server.
+	incarnation int64
+	down        bool
+	startedAt   time.Duration
+	frozenUntil time.Duration
+	// partitionedUntil is the time until which only reachableBy can reach the agent, or no owner if
+	// that is nil.
+	partitionedUntil time.Duration
+	reachableBy      *ownerModel
+	// ownerLink is the link over which the last accepted claim came; nil: none.
+	ownerLink *link
+	lastClaim worker.Claim
+	drains    drainView
 }
 
 func newAgent(w *world, name string) *agentModel {
 	a := &agentModel{w: w, name: name}
-	a.exec = newExecutor(w, a)
+	a.server = newServer(w, a)
 	a.start()
 	return a
 }
 
 func (a *agentModel) start() {
-	a.life++
+	a.incarnation++
 	a.down = false
-	a.w.blindTo(func(t *taskLedger) bool {
-		return strings.HasPrefix(t.on, a.name+"-") && (t.on != a.exec.name() || !a.exec.up)
+	a.w.markUnobserved(func(t *taskLedger) bool {
+		return strings.HasPrefix(t.lastServer, a.name+"-") && (t.lastServer != a.server.name() || !a.server.up)
 	})
-	a.w.trace("- %s life %d begins", a.name, a.life)
+	a.w.trace("- %s incarnation %d starts", a.name, a.incarnation)
 	a.worker = worker.New(a.w.workerBounds())
-	a.caller = nil
-	a.drains = drainView{book: &drains.Tracker{}}
-	a.born = a.w.now
-	a.exec.report()
-	life := a.life
-	a.loop(life, 50*time.Millisecond, func() {
+	a.ownerLink = nil
+	a.drains = drainView{tracker: &drains.Tracker{}}
+	a.startedAt = a.w.now
+	a.server.report()
+	incarnation := a.incarnation
+	a.loop(incarnation, 50*time.Millisecond, func() {
 		a.apply(a.worker.Tick(a.w.now))
-		a.lookForDrains()
-		a.tell()
+		a.readDrainsIfStale()
+		a.sendLoad()
 	})
-	a.hold(life)
+	a.hold(incarnation)
 }
 
-// loop does something again and again for as long as a life lasts.
-func (a *agentModel) loop(life int64, every time.Duration, do func()) {
+// loop calls do at an interval until the incarnation ends.
+func (a *agentModel) loop(incarnation int64, every time.Duration, do func()) {
 	a.run(func() {
-		if a.life == life {
+		if a.incarnation == incarnation {
 			do()
 		}
 	})
 	a.w.after(every, func() {
-		if a.life == life && !a.down {
-			a.loop(life, every, do)
+		if a.incarnation == incarnation && !a.down {
+			a.loop(incarnation, every, do)
 		}
 	})
 }
 
+// run calls do, after the agent has thawed if it is frozen. It does nothing if the agent is down.
 func (a *agentModel) run(do func()) {
 	if a.down {
 		return
 	}
-	if wait := a.thaw - a.w.now; wait > 0 {
-		a.w.after(wait, func() { a.run(do) })
+	if frozenFor := a.frozenUntil - a.w.now; frozenFor > 0 {
+		a.w.after(frozenFor, func() { a.run(do) })
 		return
 	}
 	do()
 }
 
-// contact is how long an agent has to have run for the bound on starts after crashes to hold
-// of it. An agent that restarts beside a crash has nobody left who saw it.
-const contact = 4 * time.Second
+// stableAfter is how long an agent must have run before the limits on starts after crashes and
+// drains are checked. If an agent restarts at the time of a crash, no process has observed the
+// crash.
+const stableAfter = 4 * time.Second
 
-func (a *agentModel) inTouch() bool { return a.w.now-a.born >= contact }
+func (a *agentModel) stable() bool { return a.w.now-a.startedAt >= stableAfter }
 
-func (a *agentModel) freeze(d time.Duration) { a.thaw = max(a.thaw, a.w.now+d) }
+func (a *agentModel) freeze(d time.Duration) { a.frozenUntil = max(a.frozenUntil, a.w.now+d) }
 
-// ready reports whether the agent takes links: it has to know what runs beside it.
+// ready reports whether the agent accepts a link from an owner. It must know the runs on its
+// backend server first.
 func (a *agentModel) ready(o *ownerModel) bool {
-	if a.w.now < a.until && a.loyal != o {
+	if a.w.now < a.partitionedUntil && a.reachableBy != o {
 		return false
 	}
-	return !a.down && a.w.now >= a.thaw && a.worker.Ready(a.w.now-a.born)
+	return !a.down && a.w.now >= a.frozenUntil && a.worker.Ready(a.w.now-a.startedAt)
 }
 
-// restart ends the process and starts another beside the same executor.
-func (a *agentModel) restart(away time.Duration) {
+// restart ends the agent's process and starts another after downtime. The backend server goes on.
+func (a *agentModel) restart(downtime time.Duration) {
 	if a.down {
 		return
 	}
 	a.down = true
-	a.w.trace("- %s goes down", a.name)
-	a.life++
+	a.w.trace("- %s stops", a.name)
+	a.incarnation++
 	for _, o := range a.w.owners {
-		o.cutLink(a, away+a.w.upTo(300*time.Millisecond))
+		o.cutLink(a, downtime+a.w.randUpTo(300*time.Millisecond))
 	}
-	a.w.after(away, a.start)
+	a.w.after(downtime, a.start)
 }
 
 func (a *agentModel) claim(l *link, c worker.Claim) {
@@ -118,22 +123,22 @@
 	a.apply(answer.Effects)
 	a.w.trace("%s claim %+v refused %v runs %v", a.name, c, answer.Refused, answer.Runs)
 	if !answer.Refused {
-		a.caller, a.claims = l, c
+		a.ownerLink, a.lastClaim = l, c
 	}
-	if a.w.m == claimsWithoutRuns {
+	if a.w.mutant == claimsWithoutRuns {
 		answer.Runs = nil
 	}
 	l.toOwner(func() { l.owner.apply(l.owner.shard.Claimed(a.w.now, a.name, answer)) })
-	a.tell()
+	a.sendLoad()
 }
 
 func (a *agentModel) order(l *link, o worker.Order) {
 	a.w.trace("%s order %v epoch %d session %d", a.name, o.Run, o.Epoch, o.Session)
-	if a.w.m == repeatsStart {
+	if a.w.mutant == repeatsStartRuns {
 		o.Repeat = false
 	}
-	if a.w.m == anyOrder {
-		o.Epoch, o.Session = a.claims.Epoch, a.claims.Session
+	if a.w.mutant == noOrderFence {
+		o.Epoch, o.Session = a.lastClaim.Epoch, a.lastClaim.Session
 	}
 	a.apply(a.worker.Order(a.w.now, o))
 }
@@ -144,11 +149,11 @@
 
 func (a *agentModel) settled(s owner.Settlement) {
 	a.w.trace("%s settled %+v", a.name, s)
-	a.worker.Settled(s.Run, s.Void && a.w.m != voidAcked)
+	a.worker.Settled(s.Run, s.Void && a.w.mutant != voidEndsAcked)
 }
 
-// tell sends the load to whoever is linked.
-func (a *agentModel) tell() {
+// sendLoad sends the agent's load to all linked owners.
+func (a *agentModel) sendLoad() {
 	load := a.worker.Load(a.w.now)
 	for _, o := range a.w.owners {
 		if l := o.links[a]; l != nil && l.up {
@@ -158,10 +163,10 @@
 }
 
 func (a *agentModel) apply(fx worker.Effects) {
-	life := a.life
+	incarnation := a.incarnation
 	for _, s := range fx.Starts {
 		a.checkDrains()
-		a.call(func() bool { return a.exec.runStart(life, s) }, func(answered, ok bool) {
+		a.call(func() bool { return a.server.runStart(incarnation, s) }, func(answered, ok bool) {
 			outcome := worker.StartRefused
 			a.w.trace("%s start %v answered %v ok %v", a.name, s.Run, answered, ok)
 			switch {
@@ -174,73 +179,75 @@
 		})
 	}
 	for _, s := range fx.Stops {
-		a.call(func() bool { return a.exec.runStop(life, s) }, func(answered, ok bool) {
+		a.call(func() bool { return a.server.runStop(incarnation, s) }, func(answered, ok bool) {
 			a.apply(a.worker.StopAnswered(a.w.now, s.Instance, s.Run, answered && ok))
 		})
 	}
 	for _, e := range fx.Events {
-		if a.w.m == lossesUntold {
+		if a.w.mutant == lossesNotReported {
 			e.State.Loss = worker.NotLost
 		}
 		a.w.trace("%s event %+v", a.name, e)
-		if a.w.m == settledUnwritten && e.State.Status == worker.Ended {
+		if a.w.mutant == settledBeforeWrite && e.State.Status == worker.Ended {
 			a.worker.Settled(e.State.Run, false)
 		}
-		if l := a.caller; l != nil && l.up {
+		if l := a.ownerLink; l != nil && l.up {
 			l.toOwner(func() { l.owner.event(a, e) })
 		}
 	}
 }
 
-// call carries something out at the executor, perhaps late, and tells the agent
-// what came of it unless the answer is lost.
-func (a *agentModel) call(do func() bool, then func(answered, ok bool)) {
+// call carries out a call at the backend server and passes the response to the agent. While the
+// backend server is unreliable, the call may be late or its response lost; the agent then gets a
+// timeout.
+func (a *agentModel) call(do func() bool, onResponse func(answered, ok bool)) {
 	const timeout = 80 * time.Millisecond
-	w, life, took := a.w, a.life, a.w.upTo(3*time.Millisecond)
+	w, incarnation, delay := a.w, a.incarnation, a.w.randUpTo(3*time.Millisecond)
 	lost, late := false, false
-	if w.now < a.exec.troubled {
+	if w.now < a.server.unreliableUntil {
 		lost, late = w.chance(0.3), w.chance(0.3)
 	}
 	if late {
-		took += w.upTo(1500 * time.Millisecond)
+		delay += w.randUpTo(1500 * time.Millisecond)
 	}
-	back := func(answered, ok bool) {
+	respond := func(answered, ok bool) {
 		a.run(func() {
-			if a.life == life {
-				then(answered, ok)
+			if a.incarnation == incarnation {
+				onResponse(answered, ok)
 			}
 		})
 	}
 	if late || lost {
-		w.after(timeout, func() { back(false, false) })
+		w.after(timeout, func() { respond(false, false) })
 	}
-	w.after(took, func() {
+	w.after(delay, func() {
 		ok := do()
 		if !late && !lost {
-			back(true, ok)
+			respond(true, ok)
 		}
 	})
 }
 
-// hold keeps the lease and reads the lists.
-func (a *agentModel) hold(life int64) {
+// hold sends hold calls, which renew the lease and return the backend server's lists of runs and
+// ends, one after the other until the incarnation ends.
+func (a *agentModel) hold(incarnation int64) {
 	a.run(func() {
-		if a.life != life {
+		if a.incarnation != incarnation {
 			return
 		}
 		c, ok := a.worker.Hold(a.w.now)
 		if !ok {
-			a.w.after(20*time.Millisecond, func() { a.hold(life) })
+			a.w.after(20*time.Millisecond, func() { a.hold(incarnation) })
 			return
 		}
 		var h worker.HoldResult
-		a.call(func() bool { return a.exec.hold(life, c, &h) }, func(answered, ok bool) {
+		a.call(func() bool { return a.server.hold(incarnation, c, &h) }, func(answered, ok bool) {
 			if answered && ok {
 				a.apply(a.worker.HoldAnswered(a.w.now, c, h))
 			} else {
-				a.apply(a.worker.HoldFailed(a.w.now, c, a.exec.failure(c, answered)))
+				a.apply(a.worker.HoldFailed(a.w.now, c, a.server.holdFailure(c, answered)))
 			}
-			a.w.after(40*time.Millisecond, func() { a.hold(life) })
+			a.w.after(40*time.Millisecond, func() { a.hold(incarnation) })
 		})
 	})
 }
--- a/coordination/model/race_on_test.go
+++ b/coordination/model/race_on_test.go
@@ -2,6 +2,5 @@
 
 package model
 
-// raced tells that the race detector is on, with which worlds take ten times as
-// long.
-const raced = true
+// raceDetector reports whether the race detector is on. A world then takes ten times as long.
+const raceDetector = true
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -10,24 +10,25 @@
 	"testing"
 	"time"
 
-	// The go command takes a result for known while no source that it knows of has
-	// changed; the daemon that is built here has to be one of them.
+	// The go command reuses a cached test result unless a dependency of the test has changed. The
+	// import makes the daemon, which this package builds and runs, a dependency.
 	_ "github.com/shallotstep/shallotstep/daemon"
 )
 
-// program is the built daemon.
-var program string
+// daemonPath is the path of the daemon's binary.
+var daemonPath string
 
-func build(dir string) error {
-	program = filepath.Join(dir, "shallotstepd")
-	out, err := exec.Command("go", "build", "-o", program, "../cmd/shallotstepd").CombinedOutput()
+func buildDaemon(dir string) error {
+	daemonPath = filepath.Join(dir, "shallotstepd")
+	out, err := exec.Command("go", "build", "-o", daemonPath, "../cmd/shallotstepd").CombinedOutput()
 	if err != nil {
 		return fmt.Errorf("%w: %s", err, out)
 	}
 	return nil
 }
 
-// process is one daemon. It is ended by its own process's handle only.
+// process is a daemon that can be stopped and restarted. Signals are sent by the handle of the
+// process only, so that they can't reach another one.
 type process struct {
 	t        *testing.T
 	name     string
@@ -38,12 +39,13 @@
 	// All fields below are guarded by mu.
 
 	cmd *exec.Cmd
-	// ending is set once this soak has told the present life to end.
-	ending bool
-	ended  chan struct{}
+	// exitRequested is set once the test has sent the running process SIGTERM or SIGKILL.
+	exitRequested bool
+	// exited is closed when the running process has exited.
+	exited chan struct{}
 	frozen bool
-	// faults tells of lives that ended by themselves.
-	faults []string
+	// violations has a message for each process that exited unexpectedly.
+	violations []string
 }
 
 func newProcess(t *testing.T, dir, name, settings string) *process {
@@ -59,37 +61,38 @@
 	return &process{t: t, name: name, settings: path, log: log}
 }
 
-// start begins a life unless there is one.
+// start starts the daemon unless it is running.
 func (p *process) start() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
 		return
 	}
-	cmd := exec.Command(program, "run", "-settings", p.settings)
+	cmd := exec.Command(daemonPath, "run", "-settings", p.settings)
 	cmd.Stdout, cmd.Stderr = p.log, p.log
-	// Nothing is left behind by a test that is ended from outside.
+	// The daemon must not outlive a test that is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		p.t.Error(err)
 		return
 	}
-	p.cmd, p.ending, p.frozen, p.ended = cmd, false, false, make(chan struct{})
-	go p.reap(cmd, p.ended)
+	p.cmd, p.exitRequested, p.frozen, p.exited = cmd, false, false, make(chan struct{})
+	go p.reap(cmd, p.exited)
 }
 
-func (p *process) reap(cmd *exec.Cmd, ended chan struct{}) {
+// reap waits until the process has exited, and records a violation if that was not requested.
+func (p *process) reap(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.ending {
-		p.faults = append(p.faults, fmt.Sprintf("%s ended by itself: %v", p.name, err))
+	if !p.exitRequested {
+		p.violations = append(p.violations, fmt.Sprintf("%s exited unexpectedly: %v", p.name, err))
 	}
 	p.cmd = nil
-	close(ended)
+	close(exited)
 }
 
-// signal sends a signal to the present life, if there is one.
+// signal sends a signal to the process if it is running.
 func (p *process) signal(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +101,7 @@
 	}
 	switch sig {
 	case syscall.SIGKILL, syscall.SIGTERM:
-		p.ending = true
+		p.exitRequested = true
 	case syscall.SIGSTOP:
 		p.frozen = true
 	case syscall.SIGCONT:
@@ -109,31 +112,32 @@
 	}
 }
 
-// wait waits until the present life has ended.
+// wait waits until the process has exited, and reports whether it has within limit.
 func (p *process) wait(limit time.Duration) bool {
 	p.mu.Lock()
-	ended, running := p.ended, p.cmd != nil
+	exited, running := p.exited, p.cmd != nil
 	p.mu.Unlock()
 	if !running {
 		return true
 	}
 	select {
-	case <-ended:
+	case <-exited:
 		return true
 	case <-time.After(limit):
 		return false
 	}
 }
 
-// kill ends the present life at once.
+// kill kills the process and waits until it has exited. A frozen process is continued first.
 func (p *process) kill() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGKILL)
 	p.wait(time.Minute)
 }
 
-func (p *process) endedByItself() []string {
+// unexpectedExits returns a message for each time the daemon exited without being asked to.
+func (p *process) unexpectedExits() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.faults
+	return p.violations
 }
--- a/soak/relay_test.go
+++ b/soak/relay_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// way is what a relay does with what it is given.
-type way int
+// relayMode is what a relay does with the bytes it receives.
+type relayMode int
 
 const (
-	// pass hands it on.
-	pass way = iota
-	// silent drops it both ways; connections stay open.
-	silent
-	// forthLost drops what goes to the target only.
-	forthLost
-	// backLost drops what comes from the target only.
-	backLost
+	// forward forwards them.
+	forward relayMode = iota
+	// dropBoth drops them in both directions. Connections stay open.
+	dropBoth
+	// dropToTarget drops only those sent to the target.
+	dropToTarget
+	// dropFromTarget drops only those sent by the target.
+	dropFromTarget
 )
 
-// relay stands between a process and what it connects to.
+// relay forwards TCP connections to a target and injects faults into them.
 type relay struct {
 	listener net.Listener
 
@@ -29,7 +29,7 @@
 	// All fields below are guarded by mu.
 
 	target string
-	way    way
+	mode   relayMode
 	delay  time.Duration
 	conns  map[net.Conn]bool
 	closed bool
@@ -71,8 +71,8 @@
 		}
 		return
 	}
-	go r.copy(out, in, forthLost)
-	r.copy(in, out, backLost)
+	go r.copy(out, in, dropToTarget)
+	r.copy(in, out, dropFromTarget)
 }
 
 func (r *relay) add(conns ...net.Conn) bool {
@@ -84,8 +84,8 @@
 	return !r.closed
 }
 
-// copy hands on in one direction; lost is the way that drops just that.
-func (r *relay) copy(to, from net.Conn, lost way) {
+// copy forwards one direction of a connection. dropMode is the mode that drops only this direction.
+func (r *relay) copy(to, from net.Conn, dropMode relayMode) {
 	defer r.drop(to, from)
 	buf := make([]byte, 32<<10)
 	for {
@@ -94,12 +94,12 @@
 			return
 		}
 		r.mu.Lock()
-		way, delay := r.way, r.delay
+		mode, delay := r.mode, r.delay
 		r.mu.Unlock()
 		if delay > 0 {
 			time.Sleep(delay)
 		}
-		if way == silent || way == lost {
+		if mode == dropBoth || mode == dropMode {
 			continue
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
@@ -117,30 +117,30 @@
 	}
 }
 
-// closeConn ends a connection; its peer sees that, and nobody else needs to know.
+// closeConn closes a connection and ignores the error: the peer sees the close.
 func closeConn(c net.Conn) { _ = c.Close() }
 
-// reset ends all connections with a reset.
+// reset closes all connections with a TCP reset.
 func (r *relay) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // it is closed all the same
+			_ = tcp.SetLinger(0) // without it the connection is closed without a reset
 		}
 		closeConn(c)
 	}
 	clear(r.conns)
 }
 
-func (r *relay) set(w way, delay time.Duration) {
+func (r *relay) setMode(w relayMode, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.way, r.delay = w, delay
+	r.mode, r.delay = w, delay
 }
 
-// lead has new connections go elsewhere, and ends the others.
-func (r *relay) lead(target string) {
+// redirect sets the target of new connections, and resets the present ones.
+func (r *relay) redirect(target string) {
 	r.mu.Lock()
 	r.target = target
 	r.mu.Unlock()
@@ -155,5 +155,5 @@
 	r.reset()
 }
 
-// closeListener ends a listener, whose accepting goroutine sees it.
+// closeListener closes a listener and ignores the error: the accepting goroutine sees the close.
 func closeListener(l net.Listener) { _ = l.Close() }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -16,42 +16,43 @@
 )
 
 var (
-	first   = flag.Uint64("soak.first", 1, "the first seed")
-	seeds   = flag.Uint64("soak.seeds", 1, "how many seeds")
-	length  = flag.Duration("soak.length", 6*time.Second, "how long each seed's troubles last")
-	entries = flag.Int("soak.entries", 2, "entries of a system")
-	agents  = flag.Int("soak.agents", 4, "agents of a system")
+	firstSeed     = flag.Uint64("soak.first", 1, "first seed")
+	seeds         = flag.Uint64("soak.seeds", 1, "number of seeds")
+	faultDuration = flag.Duration("soak.length", 6*time.Second, "how long faults are injected for each seed")
+	entries       = flag.Int("soak.entries", 2, "number of entries in each system")
+	agents        = flag.Int("soak.agents", 4, "number of agents in each system")
 )
 
-// regressions has the seeds that have ever failed, with what failed and why.
+// regressions has the seeds that have failed before, each with a comment on what failed and why.
+// They are always run.
 var regressions = []uint64{}
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	os.Exit(run(m))
+	os.Exit(runTests(m))
 }
 
-func run(m *testing.M) int {
+func runTests(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "soak-program-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	if err := build(dir); err != nil {
+	if err := buildDaemon(dir); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	return m.Run()
 }
 
-// A system of real processes gets jobs from clients that keep their connections,
-// while processes are killed, stopped, frozen and restarted, connections are cut,
-// delayed and reset, and the store and the backend servers misbehave, several at a
-// time. Whatever the clients were told has to be true, then and at the end.
+// TestSoak runs a system of real processes with clients that keep their connections and submit
+// jobs. Meanwhile processes are killed, stopped, frozen and restarted, connections are cut, delayed
+// and reset, and the store and the backend servers fail, several faults at a time. The responses
+// that clients got must be true and must stay true.
 func TestSoak(t *testing.T) {
 	all := regressions
-	for seed := *first; seed < *first+*seeds; seed++ {
+	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
 		all = append(all, seed)
 	}
 	for _, seed := range all {
@@ -62,11 +63,11 @@
 	}
 }
 
-// troubleSeries is how many troubles there are at a time, clientCount how many
-// clients send jobs.
+// concurrentFaults is the number of faults injected at a time, and numClients the number of clients
+// that submit jobs.
 const (
-	troubleSeries = 3
-	clientCount   = 8
+	concurrentFaults = 3
+	numClients       = 8
 )
 
 func soak(t *testing.T, seed uint64) {
@@ -74,17 +75,17 @@
 	c := newClients(w)
 	w.awaitService(c)
 	stop := make(chan struct{})
-	var sending, troubling sync.WaitGroup
-	for i := range clientCount {
+	var sending, injecting sync.WaitGroup
+	for i := range numClients {
 		sending.Go(func() { c.run(i, stop) })
 	}
-	for i := range troubleSeries {
-		troubling.Go(func() { w.trouble(uint64(i), stop) })
+	for i := range concurrentFaults {
+		injecting.Go(func() { w.injectFaults(uint64(i), stop) })
 	}
-	time.Sleep(*length)
+	time.Sleep(*faultDuration)
 	close(stop)
-	troubling.Wait()
-	w.heal()
+	injecting.Wait()
+	w.clearFaults()
 	for _, p := range w.processes() {
 		p.signal(syscall.SIGCONT)
 		p.start()
@@ -96,24 +97,25 @@
 	w.check()
 }
 
-// awaitService waits until a recorded and a best-effort job run to their ends.
+// awaitService waits until the system accepts a best-effort and a recorded job.
 func (w *world) awaitService(c *clients) {
 	random := w.random(uint64(time.Now().UnixNano()))
-	for _, effort := range []bool{true, false} {
+	for _, bestEffort := range []bool{true, false} {
 		if !w.eventually(func() bool {
 			r := newRequest(random, 0x7f000000+random.IntN(1<<20), 0)
-			r.effort = effort
-			r.body = fmt.Sprintf(`{"spec":"5","best_effort":%v,"steps":[{"count":1,"cpu_millis":100,"mem_mb":16,"estimate_ms":50}]}`, effort)
+			r.bestEffort = bestEffort
+			r.body = fmt.Sprintf(`{"spec":"5","best_effort":%v,"steps":[{"count":1,"cpu_millis":100,"mem_mb":16,"estimate_ms":50}]}`, bestEffort)
 			status, _ := c.call(random, http.MethodPost, r.id, r.body)
 			return status == http.StatusOK
 		}) {
-			w.t.Fatalf("no job of kind best_effort=%v was taken in %v", effort, patience)
+			w.t.Fatalf("no job with best_effort=%v was accepted within %v", bestEffort, eventuallyTimeout)
 		}
 	}
 }
 
+// eventually polls a condition and reports whether it became true within eventuallyTimeout.
 func (w *world) eventually(ok func() bool) bool {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(eventuallyTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if ok() {
 			return true
 		}
@@ -121,25 +123,25 @@
 	return false
 }
 
-// awaitEnds waits until every accepted job that is recorded is shown as ended.
+// awaitEnds waits until all accepted recorded jobs are reported as ended.
 func (c *clients) awaitEnds() {
 	random := c.w.random(99)
-	var open []*request
+	var unfinished []*request
 	for _, r := range c.jobs {
-		if r.accepted && !r.effort {
-			open = append(open, r)
+		if r.accepted && !r.bestEffort {
+			unfinished = append(unfinished, r)
 		}
 	}
 	c.w.eventually(func() bool {
-		open = slices.DeleteFunc(open, func(r *request) bool { return c.look(random, r) })
-		return len(open) == 0
+		unfinished = slices.DeleteFunc(unfinished, func(r *request) bool { return c.query(random, r) })
+		return len(unfinished) == 0
 	})
-	for _, r := range open {
-		c.w.fault("%s: accepted, and shown as %q for %v after all was well again", r.id, r.shown, patience)
+	for _, r := range unfinished {
+		c.w.addViolation("%s: accepted, but still reported as %q %v after all faults were cleared", r.id, r.lastState, eventuallyTimeout)
 	}
 }
 
-// check holds what the clients were told against what the backend servers saw.
+// check compares the responses that clients got with what the backend servers saw.
 func (c *clients) check() {
 	accepted, refused, open := 0, 0, 0
 	for _, r := range c.jobs {
@@ -150,49 +152,50 @@
 		case r.refused:
 			refused++
 			if len(started) > 0 {
-				c.w.fault("%s: refused each time, and %d of its tasks have started", r.id, len(started))
+				c.w.addViolation("%s: every submission was refused, but %d of its tasks were started", r.id, len(started))
 			}
 		default:
 			open++
 		}
-		if r.shown == "completed" {
+		if r.lastState == "completed" {
 			c.checkComplete(r, started)
 		}
 	}
-	c.w.t.Logf("seed %d: %d jobs accepted, %d refused, %d left open", c.w.seed, accepted, refused, open)
+	c.w.t.Logf("seed %d: %d jobs accepted, %d refused, %d with unknown outcome", c.w.seed, accepted, refused, open)
 	if accepted == 0 {
-		c.w.fault("no job was accepted")
+		c.w.addViolation("no job was accepted")
 	}
 }
 
+// checkComplete checks that all tasks of a completed job were started.
 func (c *clients) checkComplete(r *request, started map[string]int) {
-	for step, count := range r.steps {
+	for step, count := range r.tasksPerStep {
 		for task := range count {
 			if started[fmt.Sprintf("%s.0.%d.%d", r.id, step, task)] == 0 {
-				c.w.fault("%s: completed, and task %d of step %d was never started", r.id, task, step)
+				c.w.addViolation("%s: completed, but task %d of step %d was never started", r.id, task, step)
 			}
 		}
 	}
 }
 
-// check reports all that must not have happened.
+// check reports all violations, with the log lines that name the job.
 func (w *world) check() {
 	if !w.eventually(func() bool { return len(w.ledger.Running()) == 0 }) {
-		w.fault("%v still run, and nobody waits for them", w.ledger.Running())
+		w.addViolation("tasks still running after all jobs ended: %v", w.ledger.Running())
 	}
 	for _, f := range w.ledger.Faults() {
-		// A best-effort job may run again from the start after it got no answer.
-		of := f[strings.LastIndex(f, " ")+1:]
-		if strings.HasPrefix(of, effortPrefix) && !strings.HasPrefix(f, "two runs at a time") && !strings.HasPrefix(f, standin.OverCapacity) && !strings.HasPrefix(f, standin.InDrainedDomain) {
+		// A best-effort job whose client got no response may run again from the start.
+		task := f[strings.LastIndex(f, " ")+1:]
+		if strings.HasPrefix(task, bestEffortPrefix) && !strings.HasPrefix(f, "two runs at a time") && !strings.HasPrefix(f, standin.OverCapacity) && !strings.HasPrefix(f, standin.InDrainedDomain) {
 			continue
 		}
-		w.fault("%s", f)
+		w.addViolation("%s", f)
 	}
 	for _, p := range w.processes() {
-		w.faults = append(w.faults, p.endedByItself()...)
+		w.violations = append(w.violations, p.unexpectedExits()...)
 	}
-	slices.Sort(w.faults)
-	for _, f := range slices.Compact(w.faults) {
+	slices.Sort(w.violations)
+	for _, f := range slices.Compact(w.violations) {
 		id, _, _ := strings.Cut(f[strings.LastIndex(f, " ")+1:], ".")
 		if head, _, ok := strings.Cut(f, ":"); ok {
 			id = head
