--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -214,7 +214,7 @@
 	if e.State.Status == worker.Running {
 		// Nobody waits for this news: it changes what a job's state and the
 		// counts of queued jobs show, and those may be seconds old.
-		c.SendQuietly(add)
+		c.SendWithNextFrame(add)
 		return
 	}
 	c.Send(add)
--- a/daemon/agent/executor.go
+++ b/daemon/agent/executor.go
@@ -44,7 +44,7 @@
 // holdLoop keeps the lease and takes in what has ended.
 func (a *Agent) holdLoop(ctx context.Context) {
 	lost := false
-	failures := pause.Backoff{Least: holdRetry, Most: maxHoldRetry}
+	failures := pause.Backoff{Min: holdRetry, Max: maxHoldRetry}
 	for ctx.Err() == nil {
 		c, ok := a.worker.Hold(bootclock.Now())
 		if !ok {
--- a/daemon/agent/news.go
+++ b/daemon/agent/news.go
@@ -89,8 +89,8 @@
 	n.ownedAt = 0
 }
 
-// Complete implements peer.AgentHandler: each frame carries the present load.
-func (a *Agent) Complete(c *peer.Caller, f *corepb.FromAgent) {
+// BeforeSend implements peer.AgentHandler: each frame carries the present load.
+func (a *Agent) BeforeSend(c *peer.Caller, f *corepb.FromAgent) {
 	now := bootclock.Now()
 	// Read before the load: what is said to be seen must be in it.
 	seen := c.Orders.Load()
--- a/daemon/agent/serve.go
+++ b/daemon/agent/serve.go
@@ -29,8 +29,8 @@
 	c.Send(nothing)
 }
 
-// CallerGone implements peer.AgentHandler.
-func (a *Agent) CallerGone(c *peer.Caller) {
+// CallerDown implements peer.AgentHandler.
+func (a *Agent) CallerDown(c *peer.Caller) {
 	a.worker.Unlinked(bootclock.Now(), c.Node)
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/daemon/entry/owners.go
+++ b/daemon/entry/owners.go
@@ -59,7 +59,7 @@
 func newOwnerBook(s *settings.Settings, st store.Store) *ownerBook {
 	return &ownerBook{
 		settings: s, store: st, owners: make(map[int]ownerView), used: make(map[int]time.Duration),
-		vain: pause.Backoff{Least: lookPause, Most: maxLookPause},
+		vain: pause.Backoff{Min: lookPause, Max: maxLookPause},
 	}
 }
 
@@ -149,7 +149,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.looking = false
-	b.next = bootclock.Now() + b.vain.After(0)
+	b.next = bootclock.Now() + b.vain.Next(0)
 	if err != nil {
 		klog.InfoS("The owners of the shards could not be read", "err", err)
 		return true
--- a/transport/httpapi/fakes_test.go
+++ b/transport/httpapi/fakes_test.go
@@ -26,16 +26,16 @@
 	// entered takes the id of every Submit, left of every caller that went.
 	entered, left chan string
 
-	mu      sync.Mutex
-	started map[state.JobKey]state.Job // guarded by mu
-	digest  state.Digest               // guarded by mu
-	waits   time.Duration              // guarded by mu
+	mu       sync.Mutex
+	started  map[state.JobKey]state.Job // guarded by mu
+	digest   state.Digest               // guarded by mu
+	deadline time.Duration              // guarded by mu
 }
 
 func (f *fakeDispatcher) Submit(ctx context.Context, s Submission) state.Answer {
 	job := s.Job
 	f.mu.Lock()
-	f.started[job.Key], f.digest, f.waits = job, s.Digest, s.Deadline
+	f.started[job.Key], f.digest, f.deadline = job, s.Digest, s.Deadline
 	f.mu.Unlock()
 	if s.Async {
 		return state.Answer{Key: job.Key, Outcome: state.Pending}
@@ -78,16 +78,16 @@
 type fakeDeclarer struct {
 	services map[string]string
 	next     state.Version
-	// fault, when set, answers every apply.
-	fault    *state.ApplyResult
-	inForce  map[string]Declaration
-	accepted map[string][]HistoryEntry
+	// applyResult, when set, answers every apply.
+	applyResult *state.ApplyResult
+	inForce     map[string]Declaration
+	accepted    map[string][]HistoryEntry
 }
 
 func (f *fakeDeclarer) Apply(_ context.Context, operator string, base state.Version, raw []byte) state.ApplyResult {
 	current := f.inForce[operator].Version
-	if f.fault != nil {
-		return *f.fault
+	if f.applyResult != nil {
+		return *f.applyResult
 	}
 	if base != current {
 		return state.ApplyResult{Version: current, Outcome: state.NotRun, Reason: state.ReasonLostRace}
@@ -144,9 +144,9 @@
 
 // The resources that the tests ask for.
 const (
-	jobs     = "/v1/services/bench-desk/jobs"
-	requests = "/v1/services/bench-desk/requests"
-	oneTask  = `{"id":"j1","deadline_ms":2500,"tasks":[{"payload":{"doll":"porcelain"},"expected_ms":300}]}`
+	jobsPath     = "/v1/services/bench-desk/jobs"
+	requestsPath = "/v1/services/bench-desk/requests"
+	oneTaskBody  = `{"id":"j1","deadline_ms":2500,"tasks":[{"payload":{"doll":"porcelain"},"expected_ms":300}]}`
 )
 
 // answers are what the fake dispatcher says of the jobs with these ids. The
@@ -175,8 +175,8 @@
 	return out
 }
 
-// bench is a running server over fakes.
-type bench struct {
+// testServer is a running server over fakes.
+type testServer struct {
 	is         *is.I
 	url        string
 	dispatcher *fakeDispatcher
@@ -184,8 +184,8 @@
 	ready      bool
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{
+func newTestServer(t *testing.T) *testServer {
+	ts := &testServer{
 		is: is.New(t),
 		dispatcher: &fakeDispatcher{
 			answers: answers(),
@@ -201,34 +201,34 @@
 		},
 		ready: true,
 	}
-	b.start(t, Options{})
-	return b
+	ts.start(t, Options{})
+	return ts
 }
 
 // start starts the server anew.
-func (b *bench) start(t *testing.T, o Options) {
-	o.Dispatcher, o.Declarer, o.Drainer, o.Status = b.dispatcher, b.declarer, &fakeDrainer{}, fakeStatus{}
-	o.Ready = func() bool { return b.ready }
+func (ts *testServer) start(t *testing.T, o Options) {
+	o.Dispatcher, o.Declarer, o.Drainer, o.Status = ts.dispatcher, ts.declarer, &fakeDrainer{}, fakeStatus{}
+	o.Ready = func() bool { return ts.ready }
 	srv := httptest.NewUnstartedServer(nil)
 	srv.Config = NewServer(New(o), nil)
 	srv.Start()
 	t.Cleanup(srv.Close)
-	b.url = srv.URL
+	ts.url = srv.URL
 }
 
-// counted says whether /metrics has a line.
-func (b *bench) counted(line string) bool {
-	res := b.do("GET", "/metrics", "")
+// hasMetric says whether /metrics has a line.
+func (ts *testServer) hasMetric(line string) bool {
+	res := ts.do("GET", "/metrics", "")
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
-	b.is.NoErr(err)
+	ts.is.NoErr(err)
 	return strings.Contains(string(body), line+"\n")
 }
 
-func (b *bench) do(method, path, body string) *http.Response {
-	req, err := http.NewRequest(method, b.url+path, strings.NewReader(body))
-	b.is.NoErr(err)
+func (ts *testServer) do(method, path, body string) *http.Response {
+	req, err := http.NewRequest(method, ts.url+path, strings.NewReader(body))
+	ts.is.NoErr(err)
 	res, err := http.DefaultClient.Do(req)
-	b.is.NoErr(err)
+	ts.is.NoErr(err)
 	return res
 }
--- a/transport/httpapi/golden_test.go
+++ b/transport/httpapi/golden_test.go
@@ -21,12 +21,12 @@
 var update = flag.Bool("update", false, "write the answers in the golden files anew")
 
 // setups are the benches of the sessions that need another one than newBench's.
-var setups = map[string]func(*bench, *Options){
-	"not-ready": func(b *bench, _ *Options) { b.ready = false },
-	"log-out-of-service": func(b *bench, _ *Options) {
-		b.declarer.fault = &state.ApplyResult{Version: 16, Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: "the reply was lost"}
+var setups = map[string]func(*testServer, *Options){
+	"not-ready": func(ts *testServer, _ *Options) { ts.ready = false },
+	"log-out-of-service": func(ts *testServer, _ *Options) {
+		ts.declarer.applyResult = &state.ApplyResult{Version: 16, Outcome: state.Unknown, Reason: state.ReasonApplyUnknown, Detail: "the reply was lost"}
 	},
-	"tokens": func(_ *bench, o *Options) {
+	"tokens": func(_ *testServer, o *Options) {
 		o.Tokens = []Token{
 			{Secret: "counter", Operator: "haneul", Role: RoleCaller},
 			{Secret: "desk", Operator: "haneul", Role: RoleOperator},
@@ -48,17 +48,17 @@
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".golden")
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
+			ts := newTestServer(t)
 			if setup := setups[name]; setup != nil {
 				var o Options
-				setup(b, &o)
-				b.start(t, o)
+				setup(ts, &o)
+				ts.start(t, o)
 			}
 			want, err := os.ReadFile(file)
-			b.is.NoErr(err)
-			got := b.play(requestsOf(want))
+			ts.is.NoErr(err)
+			got := ts.runSession(requestsOf(want))
 			if *update {
-				b.is.NoErr(os.WriteFile(file, got, 0o644))
+				ts.is.NoErr(os.WriteFile(file, got, 0o644))
 			} else if !bytes.Equal(got, want) {
 				t.Fatalf("the session differs from %s:\n%s", file, got)
 			}
@@ -82,10 +82,10 @@
 	return out
 }
 
-// play sends the requests over one connection and returns the session.
-func (b *bench) play(requests []string) []byte {
-	conn, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
-	b.is.NoErr(err)
+// runSession sends the requests over one connection and returns the session.
+func (ts *testServer) runSession(requests []string) []byte {
+	conn, err := net.Dial("tcp", strings.TrimPrefix(ts.url, "http://"))
+	ts.is.NoErr(err)
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	var out bytes.Buffer
@@ -93,26 +93,26 @@
 		header, body, _ := strings.Cut(r, "\n\n")
 		header = strings.TrimSuffix(header, "\n")
 		_, err := io.WriteString(conn, strings.ReplaceAll(header, "\n", "\r\n")+"\r\n\r\n"+strings.TrimSuffix(body, "\n"))
-		b.is.NoErr(err)
+		ts.is.NoErr(err)
 		for line := range strings.Lines(r) {
 			out.WriteString("> " + line)
 		}
 		method, _, _ := strings.Cut(r, " ")
-		b.record(&out, in, method)
+		ts.recordResponse(&out, in, method)
 	}
 	return out.Bytes()
 }
 
-func (b *bench) record(out *bytes.Buffer, in *bufio.Reader, method string) {
+func (ts *testServer) recordResponse(out *bytes.Buffer, in *bufio.Reader, method string) {
 	res, err := http.ReadResponse(in, &http.Request{Method: method})
-	b.is.NoErr(err)
+	ts.is.NoErr(err)
 	body, err := io.ReadAll(res.Body)
-	b.is.NoErr(err)
-	b.is.True(res.Header.Get("Date") != "")
+	ts.is.NoErr(err)
+	ts.is.True(res.Header.Get("Date") != "")
 	res.Header.Del("Date")
 	fmt.Fprintf(out, "< %s %s\n", res.Proto, res.Status)
 	var header bytes.Buffer
-	b.is.NoErr(res.Header.Write(&header))
+	ts.is.NoErr(res.Header.Write(&header))
 	for line := range strings.Lines(header.String()) {
 		out.WriteString("< " + strings.TrimSpace(line) + "\n")
 	}
--- a/transport/metrics/metrics_test.go
+++ b/transport/metrics/metrics_test.go
@@ -14,7 +14,7 @@
 
 // An alert on the growth of a reason's counter must see its first count, so
 // every reason is there at zero; and words from peers must add no series.
-func TestReasonsAreThereFromTheStart(t *testing.T) {
+func TestReasonSeriesStartAtZero(t *testing.T) {
 	is := is.New(t)
 	m := New()
 	reasons := len(state.Reasons())
@@ -38,7 +38,7 @@
 
 // What a process logs goes to the writer that it was given, errors too, each as
 // one line; nothing goes past it.
-func TestLogGoesToItsWriter(t *testing.T) {
+func TestLogIsWrittenToItsWriter(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	is.NoErr(SetupLog(&out))
--- a/transport/peer/link_test.go
+++ b/transport/peer/link_test.go
@@ -18,61 +18,61 @@
 	"github.com/shallotstep/shallotstep/transport/peer"
 )
 
-// agent takes links and notes the frames.
-type agent struct {
+// fakeAgent takes links and notes the frames.
+type fakeAgent struct {
 	mu     sync.Mutex
 	caller *peer.Caller      // guarded by mu
 	frames []*corepb.ToAgent // guarded by mu
 }
 
-func (a *agent) Ready() bool { return true }
-func (a *agent) CallerUp(c *peer.Caller) {
+func (a *fakeAgent) Ready() bool { return true }
+func (a *fakeAgent) CallerUp(c *peer.Caller) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.caller = c
 }
-func (a *agent) CallerGone(*peer.Caller)                                        {}
-func (a *agent) Complete(_ *peer.Caller, _ *corepb.FromAgent)                   {}
-func (a *agent) Lookup(int, job.ID) owner.Response                              { return owner.Response{} }
-func (a *agent) Cancel(int, job.ID, func(owner.Response))                       {}
-func (a *agent) Await(int, job.ID, func(owner.Response))                        {}
-func (a *agent) Pending(string) owner.Response                                  { return owner.Response{} }
-func (a *agent) Submit(int, job.ID, job.Spec, job.Policy, func(owner.Response)) {}
+func (a *fakeAgent) CallerDown(*peer.Caller)                                        {}
+func (a *fakeAgent) BeforeSend(_ *peer.Caller, _ *corepb.FromAgent)                 {}
+func (a *fakeAgent) Lookup(int, job.ID) owner.Response                              { return owner.Response{} }
+func (a *fakeAgent) Cancel(int, job.ID, func(owner.Response))                       {}
+func (a *fakeAgent) Await(int, job.ID, func(owner.Response))                        {}
+func (a *fakeAgent) Pending(string) owner.Response                                  { return owner.Response{} }
+func (a *fakeAgent) Submit(int, job.ID, job.Spec, job.Policy, func(owner.Response)) {}
 
-func (a *agent) Frame(_ *peer.Caller, f *corepb.ToAgent) error {
+func (a *fakeAgent) Frame(_ *peer.Caller, f *corepb.ToAgent) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.frames = append(a.frames, f)
 	return nil
 }
 
-// sessions notes the numbers of the links that came up.
-type sessions struct {
-	calls
+// sessionRecorder notes the numbers of the links that came up.
+type sessionRecorder struct {
+	linkRecorder
 	mu   sync.Mutex
 	seen []int64 // guarded by mu
 }
 
-func (h *sessions) LinkUp(node string, session int64) *corepb.ToAgent {
+func (h *sessionRecorder) LinkUp(node string, session int64) *corepb.ToAgent {
 	h.mu.Lock()
 	h.seen = append(h.seen, session)
 	h.mu.Unlock()
-	return h.calls.LinkUp(node, session)
+	return h.linkRecorder.LinkUp(node, session)
 }
 
 // A link ends because nobody wants it any more, and is dialled again while the agent
 // still remembers the last session. With a lower number than that the new link's claim is
 // refused, and nothing is placed at the agent.
-func TestSessionsRiseFromLinkToLink(t *testing.T) {
+func TestSessionNumbersIncreaseAcrossLinks(t *testing.T) {
 	is := is.New(t)
-	_, addr := start(t)
-	var h sessions
+	_, addr := startAgent(t)
+	var h sessionRecorder
 	d := peer.NewDialer("owner", &h)
 	for range 2 {
 		l := d.Dial(context.Background(), "agent", addr)
 		await(t, l.Up)
 		down := h.down.Load()
-		l.Renew()
+		l.Reconnect()
 		await(t, func() bool { return h.down.Load() > down && l.Up() })
 		l.Close()
 	}
@@ -81,25 +81,25 @@
 	is.Equal(len(slices.Compact(h.seen)), len(h.seen))
 }
 
-// calls notes what a link tells. Its frames are those of the present session.
-type calls struct{ up, down, frames atomic.Int64 }
+// linkRecorder notes what a link tells. Its frames are those of the present session.
+type linkRecorder struct{ up, down, frames atomic.Int64 }
 
-func (h *calls) LinkUp(string, int64) *corepb.ToAgent {
+func (h *linkRecorder) LinkUp(string, int64) *corepb.ToAgent {
 	h.up.Add(1)
 	h.frames.Store(0)
 	return &corepb.ToAgent{}
 }
-func (h *calls) LinkDown(string, int64)                     { h.down.Add(1) }
-func (h *calls) LinkComplete(*corepb.ToAgent)               {}
-func (h *calls) LinkFrame(string, int64, *corepb.FromAgent) { h.frames.Add(1) }
+func (h *linkRecorder) LinkDown(string, int64)                     { h.down.Add(1) }
+func (h *linkRecorder) LinkBeforeSend(*corepb.ToAgent)             {}
+func (h *linkRecorder) LinkFrame(string, int64, *corepb.FromAgent) { h.frames.Add(1) }
 
-func start(t *testing.T) (*agent, string) {
+func startAgent(t *testing.T) (*fakeAgent, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &agent{}
+	a := &fakeAgent{}
 	s := peer.NewServer(a)
 	served := make(chan struct{})
 	go func() {
@@ -132,20 +132,20 @@
 	}
 }
 
-// cut is a relay in front of an agent. It can lose what the owner sends, while
+// forward is a forward in front of an agent. It can lose what the owner sends, while
 // what the agent sends still arrives.
-type cut struct {
-	lose atomic.Bool
+type forward struct {
+	drop atomic.Bool
 	addr string
 }
 
-func startCut(t *testing.T, to string) *cut {
+func startRelay(t *testing.T, to string) *forward {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &cut{addr: l.Addr().String()}
+	c := &forward{addr: l.Addr().String()}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -159,7 +159,7 @@
 	return c
 }
 
-func (c *cut) relay(in net.Conn, to string) {
+func (c *forward) relay(in net.Conn, to string) {
 	defer in.Close()
 	out, err := net.Dial("tcp", to)
 	if err != nil {
@@ -173,7 +173,7 @@
 		if err != nil {
 			return
 		}
-		if c.lose.Load() {
+		if c.drop.Load() {
 			continue
 		}
 		if _, err := out.Write(buf[:n]); err != nil {
@@ -186,42 +186,42 @@
 // it looks alive, and every order that is sent there is lost; tasks would wait
 // until their jobs' time limits. The link is given up once the frames tell of
 // nothing new from this side, and its runs are found or waited out.
-func TestLinkThatIsCutOneWayIsGivenUp(t *testing.T) {
-	_, addr := start(t)
-	c := startCut(t, addr)
-	var h calls
+func TestLinkCutInOneDirectionIsClosed(t *testing.T) {
+	_, addr := startAgent(t)
+	c := startRelay(t, addr)
+	var h linkRecorder
 	dial(t, c.addr, &h)
-	c.lose.Store(true)
+	c.drop.Store(true)
 	before := h.frames.Load()
 	await(t, func() bool { return h.frames.Load() > before }) // it still hears the agent
 	down, up := h.down.Load(), h.up.Load()
 	await(t, func() bool { return h.down.Load() > down })
-	c.lose.Store(false)
+	c.drop.Store(false)
 	await(t, func() bool { return h.up.Load() > up })
 }
 
 // A link without work stays up by signs of life alone: one session lasts beyond both
 // limits on silence, of four and of seven frames.
 func TestIdleLinkStaysUp(t *testing.T) {
-	_, addr := start(t)
-	var h calls
+	_, addr := startAgent(t)
+	var h linkRecorder
 	dial(t, addr, &h)
 	await(t, func() bool { return h.frames.Load() > 12 })
 }
 
 // Settlements of ends may wait. Sent one by one they would be as many frames as
 // there are tasks; they go out with the next frame, at the latest with a sign of life.
-func TestQuietNewsGoesWithTheNextFrame(t *testing.T) {
+func TestDeferredUpdatesAreSentInOneFrame(t *testing.T) {
 	is := is.New(t)
-	a, addr := start(t)
-	var h calls
+	a, addr := startAgent(t)
+	var h linkRecorder
 	l := dial(t, addr, &h)
 	const settled = 20
 	for shard := int32(1); ; shard++ {
 		await(t, func() bool { return l.Client() != nil })
 		down := h.down.Load()
 		for range settled {
-			l.SendQuietly(func(f *corepb.ToAgent) { f.Settled = append(f.Settled, &corepb.Settled{Shard: shard}) })
+			l.SendWithNextFrame(func(f *corepb.ToAgent) { f.Settled = append(f.Settled, &corepb.Settled{Shard: shard}) })
 		}
 		arrived, frames := 0, 0
 		await(t, func() bool {
@@ -237,7 +237,7 @@
 }
 
 // settled counts the settlements of a shard, and the frames that they came with.
-func (a *agent) settled(shard int32) (arrived, frames int) {
+func (a *fakeAgent) settled(shard int32) (arrived, frames int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, f := range a.frames {
