--- a/transport/peer/link.go
+++ b/transport/peer/link.go
@@ -18,59 +18,61 @@
 )
 
 const (
-	// silenceLimit ends a link on which nothing came for four heartbeats:
-	// a connection can go silent without a reset.
+	// receiveTimeout closes a link on which no frame has arrived for four heartbeat
+	// intervals: a connection can stop delivering without a reset.
 	receiveTimeout = 700 * time.Millisecond
-	// echoLimit ends a link on which frames come, but none that tells of newer
-	// frames from this side: the way there is cut, and orders are lost. The agent
-	// tells within two heartbeats. It is below the 1.3 s after which the agent
-	// stops the runs of an owner that it does not hear.
+	// echoTimeout closes a link on which frames arrive, but none that acknowledges a
+	// newer heartbeat of this side: the network drops what is sent to the agent, so
+	// orders are lost. An agent acknowledges a heartbeat within two heartbeat
+	// intervals. The timeout is below the 1.3 s after which an agent stops the runs of
+	// an owner from which it receives nothing.
 	echoTimeout = time.Second
-	// redialPause is the pause before a lost link is dialled again.
+	// minRedialDelay is the delay before a lost link is dialled again.
 	minRedialDelay = 50 * time.Millisecond
-	// maxRedialPause bounds it for an agent that stays away; one that is back
-	// is found that much later.
+	// maxRedialDelay bounds the delay, which doubles with each failed dial. It is also
+	// how much later an agent that is reachable again may be found.
 	maxRedialDelay = 300 * time.Millisecond
-	// dialTimeout bounds the first answer on a new link to an agent that stays away;
-	// firstDialTimeout that of the first try, and each try has twice the last one's. A
-	// host without power drops the opening packet, and the kernel repeats it after a
-	// second only: with one long try, an agent that was back 50 ms after the dial was
-	// missing for another 0.7 to 1 s. An agent answers a dial within 20 ms, on a host
-	// that is five times slower within 100 ms.
+	// maxDialTimeout bounds the wait for the first frame on a new link. The first attempt
+	// waits for minDialTimeout, and each failed one doubles it. A host without power drops
+	// the SYN packet, and the kernel retransmits it only after a second: with a single long
+	// attempt, an agent that came back 50 ms after the dial was unreachable for another 0.7
+	// to 1 s. An agent answers a dial within 20 ms, and within 100 ms on a host that is
+	// five times slower.
 	maxDialTimeout = 700 * time.Millisecond
 	minDialTimeout = 150 * time.Millisecond
 )
 
-// LinkHandler hears of a link's life. Its methods are called one at a time, but for
-// LinkComplete.
+// LinkHandler handles the events of links. For each link its methods are called one at a
+// time, except LinkBeforeSend, which may be called concurrently with the others.
 type LinkHandler interface {
-	// LinkUp returns what to send first in a new session.
+	// LinkUp returns the claims to send in the first frame of a new session.
 	LinkUp(node string, session int64) *corepb.ToAgent
 	LinkFrame(node string, session int64, f *corepb.FromAgent)
 	LinkDown(node string, session int64)
-	// LinkBeforeSend adds the process's news to a frame that is about to be sent.
+	// LinkBeforeSend adds the process's current state, such as drains, to a frame that
+	// is about to be sent.
 	LinkBeforeSend(f *corepb.ToAgent)
 }
 
-// Dialer makes the links of one process. It numbers their sessions in one row: an agent
-// takes a claim with a lower number than the last one's for a late one, also when it comes
-// on another link that was dialled since. Numbered by each link, the claims of a link that
-// is dialled again would be refused.
+// Dialer creates the links of one process. Session numbers increase across all its links,
+// because an agent treats a claim with a lower session number than the last one as late, also
+// when it arrives on a link that was dialled later. If each link counted its own sessions, an
+// agent would refuse the claims of a link that was closed and dialled again.
 type Dialer struct {
 	self     string
 	handler  LinkHandler
 	sessions atomic.Int64
 }
 
-// NewDialer returns a dialer for a process of that name.
+// NewDialer returns a dialer for the process with the node name self.
 func NewDialer(self string, h LinkHandler) *Dialer { return &Dialer{self: self, handler: h} }
 
-// Link keeps a connection to one agent.
+// Link maintains a connection to one agent and reconnects when it is lost.
 type Link struct {
 	Node, Addr string
 
 	dialer *Dialer
-	// session is the number of the last one.
+	// session is the number of the latest session. Only the goroutine of run uses it.
 	session int64
 	cancel  context.CancelFunc
 	done    chan struct{}
@@ -78,11 +80,11 @@
 	mu     sync.Mutex
 	client corepb.CoreClient       // guarded by mu; nil while down
 	out    *outbox[corepb.ToAgent] // guarded by mu
-	// end ends the present session; nil while the link is down. Guarded by mu.
+	// endSession ends the current session; nil while the link is down. Guarded by mu.
 	endSession context.CancelFunc
 }
 
-// Dial keeps a link to an agent until Close.
+// Dial starts a link to an agent, which stays until Close is called or ctx ends.
 func (d *Dialer) Dial(ctx context.Context, node, addr string) *Link {
 	ctx, cancel := context.WithCancel(ctx)
 	l := &Link{Node: node, Addr: addr, dialer: d, cancel: cancel, done: make(chan struct{})}
@@ -90,7 +92,8 @@
 	return l
 }
 
-// Renew ends the present session, if there is one. The link is made anew with the next.
+// Reconnect ends the current session, if there is one. The link then dials again and starts a
+// new session.
 func (l *Link) Reconnect() {
 	l.mu.Lock()
 	end := l.endSession
@@ -100,21 +103,22 @@
 	}
 }
 
-// Close ends the link and waits for its goroutines.
+// Close closes the link and waits for its goroutines.
 func (l *Link) Close() {
 	l.cancel()
 	<-l.done
 }
 
-// Send lets fill extend the next frame and has it sent at once. While the link
-// is down nothing is sent.
+// Send calls fill to extend the next frame and has that frame sent immediately. It does
+// nothing while the link is down.
 func (l *Link) Send(fill func(*corepb.ToAgent)) {
 	if out := l.outbox(); out != nil {
 		out.add(fill)
 	}
 }
 
-// SendQuietly is Send for what may wait for the next frame that goes out anyway.
+// SendWithNextFrame is like Send, but leaves the content until the next frame that is sent
+// anyway, at the latest after heartbeatInterval.
 func (l *Link) SendWithNextFrame(fill func(*corepb.ToAgent)) {
 	if out := l.outbox(); out != nil {
 		out.addWithoutWake(fill)
@@ -127,14 +131,14 @@
 	return l.out
 }
 
-// Client returns the agent's service, or nil while the link is down.
+// Client returns the gRPC client of the agent, or nil while the link is down.
 func (l *Link) Client() corepb.CoreClient {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.client
 }
 
-// Up reports whether frames go both ways.
+// Up reports whether the link has a session.
 func (l *Link) Up() bool { return l.Client() != nil }
 
 func (l *Link) run(ctx context.Context) {
@@ -154,8 +158,8 @@
 	}
 }
 
-// runSession makes one connection and serves it to its end. It reports whether
-// the agent has answered, which may take as long as patience.
+// runSession opens one connection and serves it until it ends. It reports whether the agent
+// sent a first frame within timeout.
 func (l *Link) runSession(ctx context.Context, timeout time.Duration) (bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -168,11 +172,11 @@
 			MinConnectTimeout: timeout,
 		}))
 	if err != nil {
-		return false, errors.Wrap(err, "link")
+		return false, errors.Wrap(err, "create gRPC client for the link")
 	}
 	defer func() {
 		if err := conn.Close(); err != nil {
-			klog.V(1).InfoS("A link did not close", "agent", l.Node, "err", err)
+			klog.V(1).InfoS("Failed to close the link to an agent", "agent", l.Node, "err", err)
 		}
 	}()
 	watchdog := newWatchdog(timeout, cancel)
@@ -180,13 +184,13 @@
 	client := corepb.NewCoreClient(conn)
 	stream, err := client.Exchange(ctx)
 	if err != nil {
-		return false, errors.Wrap(err, "link")
+		return false, errors.Wrap(err, "open the stream of the link")
 	}
 	if err := stream.Send(&corepb.ToAgent{Node: l.dialer.self}); err != nil {
-		return false, errors.Wrap(err, "link")
+		return false, errors.Wrap(err, "send the first frame of the link")
 	}
 	if _, err := stream.Recv(); err != nil {
-		return false, errors.Wrap(err, "link")
+		return false, errors.Wrap(err, "receive the first frame of the link")
 	}
 	return true, l.serve(ctx, cancel, watchdog, client, stream)
 }
@@ -224,7 +228,7 @@
 		n++
 		f.Heartbeat = n
 		l.dialer.handler.LinkBeforeSend(f)
-		// The reader gets the reason of a failure.
+		// read receives the reason for a failure from the stream.
 		return stream.Send(f) == nil
 	})
 }
@@ -237,7 +241,7 @@
 		f, err := stream.Recv()
 		if err != nil {
 			if w.fired() {
-				return errors.New("silence")
+				return errors.New("no frame, or no acknowledgement of a newer heartbeat, arrived in time")
 			}
 			return err
 		}
@@ -250,7 +254,7 @@
 	}
 }
 
-// watchdog cancels when it has not been reset in time.
+// watchdog calls cancel when its time passes without a reset.
 type watchdog struct {
 	timer  *time.Timer
 	cancel func()
--- a/transport/peer/link_test.go
+++ b/transport/peer/link_test.go
@@ -18,7 +18,7 @@
 	"github.com/shallotstep/shallotstep/transport/peer"
 )
 
-// fakeAgent takes links and notes the frames.
+// fakeAgent accepts links and records the frames that it receives.
 type fakeAgent struct {
 	mu     sync.Mutex
 	caller *peer.Caller      // guarded by mu
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// sessionRecorder notes the numbers of the links that came up.
+// sessionRecorder records the session numbers of the links that came up.
 type sessionRecorder struct {
 	linkRecorder
 	mu   sync.Mutex
@@ -60,9 +60,9 @@
 	return h.linkRecorder.LinkUp(node, session)
 }
 
-// A link ends because nobody wants it any more, and is dialled again while the agent
-// still remembers the last session. With a lower number than that the new link's claim is
-// refused, and nothing is placed at the agent.
+// Guards against an agent that refuses the claim of a link that was closed and dialled again:
+// the agent still remembers the last session, and if the new session had a lower number, the
+// claim would be refused and nothing would be placed on the agent.
 func TestSessionNumbersIncreaseAcrossLinks(t *testing.T) {
 	is := is.New(t)
 	_, addr := startAgent(t)
@@ -81,7 +81,7 @@
 	is.Equal(len(slices.Compact(h.seen)), len(h.seen))
 }
 
-// linkRecorder notes what a link tells. Its frames are those of the present session.
+// linkRecorder counts the calls of a LinkHandler. frames counts those of the current session.
 type linkRecorder struct{ up, down, frames atomic.Int64 }
 
 func (h *linkRecorder) LinkUp(string, int64) *corepb.ToAgent {
@@ -127,13 +127,13 @@
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not in a minute")
+			t.Fatal("the condition did not hold within a minute")
 		}
 	}
 }
 
-// forward is a forward in front of an agent. It can lose what the owner sends, while
-// what the agent sends still arrives.
+// relay forwards connections to an agent. It can drop what the owner sends while it still
+// forwards what the agent sends.
 type forward struct {
 	drop atomic.Bool
 	addr string
@@ -151,7 +151,7 @@
 		for {
 			in, err := l.Accept()
 			if err != nil {
-				return // closed by the test
+				return // the test has closed the listener
 			}
 			go c.relay(in, to)
 		}
@@ -163,7 +163,7 @@
 	defer in.Close()
 	out, err := net.Dial("tcp", to)
 	if err != nil {
-		return // the agent is gone with its test
+		return // the test has ended and stopped the agent
 	}
 	defer out.Close()
 	go func() { _, _ = io.Copy(in, out) }()
@@ -182,10 +182,10 @@
 	}
 }
 
-// The way to an agent is cut, and the way back is not. Its frames still come, so
-// it looks alive, and every order that is sent there is lost; tasks would wait
-// until their jobs' time limits. The link is given up once the frames tell of
-// nothing new from this side, and its runs are found or waited out.
+// Guards against a link on which the network drops only the frames to the agent. The agent's
+// frames still arrive, so it seems reachable, but every order to it is lost and tasks would
+// wait until their jobs' time limits. The link is closed once the agent's frames acknowledge
+// no newer heartbeat.
 func TestLinkCutInOneDirectionIsClosed(t *testing.T) {
 	_, addr := startAgent(t)
 	c := startRelay(t, addr)
@@ -193,15 +193,15 @@
 	dial(t, c.addr, &h)
 	c.drop.Store(true)
 	before := h.frames.Load()
-	await(t, func() bool { return h.frames.Load() > before }) // it still hears the agent
+	await(t, func() bool { return h.frames.Load() > before }) // the agent's frames still arrive
 	down, up := h.down.Load(), h.up.Load()
 	await(t, func() bool { return h.down.Load() > down })
 	c.drop.Store(false)
 	await(t, func() bool { return h.up.Load() > up })
 }
 
-// A link without work stays up by signs of life alone: one session lasts beyond both
-// limits on silence, of four and of seven frames.
+// A link without work stays up by heartbeats alone: one session outlasts both
+// receiveTimeout and echoTimeout, which are about four and seven heartbeat intervals.
 func TestIdleLinkStaysUp(t *testing.T) {
 	_, addr := startAgent(t)
 	var h linkRecorder
@@ -209,8 +209,8 @@
 	await(t, func() bool { return h.frames.Load() > 12 })
 }
 
-// Settlements of ends may wait. Sent one by one they would be as many frames as
-// there are tasks; they go out with the next frame, at the latest with a sign of life.
+// Guards against one frame per task for the acknowledgements of ended runs, which may wait:
+// they are sent together with the next frame, at the latest with a heartbeat.
 func TestDeferredUpdatesAreSentInOneFrame(t *testing.T) {
 	is := is.New(t)
 	a, addr := startAgent(t)
@@ -229,14 +229,14 @@
 			return arrived == settled || h.down.Load() > down
 		})
 		if arrived < settled {
-			continue // the link was lost meanwhile, and the news with it
+			continue // the link was lost meanwhile, and with it the unsent content
 		}
-		is.True(frames < settled/2) // a sign of life may fall in between
+		is.True(frames < settled/2) // a heartbeat may be sent in between
 		return
 	}
 }
 
-// settled counts the settlements of a shard, and the frames that they came with.
+// settled returns the number of settlements of a shard and of the frames that carried them.
 func (a *fakeAgent) settled(shard int32) (arrived, frames int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/transport/peer/outbox.go
+++ b/transport/peer/outbox.go
@@ -1,6 +1,6 @@
-// Package peer links owners and entries with agents over gRPC. A link carries
-// frames both ways; whatever waits for one frame to be written goes out together
-// in the next.
+// Package peer connects owners and entries with agents over gRPC. A link carries frames in
+// both directions. Content that is queued while a frame is being written is sent together in
+// the next frame.
 package peer
 
 import (
@@ -10,22 +10,21 @@
 )
 
 const (
-	// heartbeatEvery is the longest time without a frame on a link that is up.
-	// What goes out anyway is a sign of life too: on a busy link no frame is
-	// sent for it alone.
+	// heartbeatInterval is the longest time without a frame on a link that is up. Every
+	// frame carries a heartbeat, so a busy link sends no extra frames for it.
 	heartbeatInterval = 150 * time.Millisecond
-	// staticWindow is how many bytes of one stream, and of one connection, may
-	// be on their way. A frame has some hundred bytes. Given a fixed window gRPC
-	// does not measure the bandwidth, which costs a ping and its answer for
-	// nearly each frame: half of all packets on a link.
+	// flowControlWindow is the gRPC flow-control window of a stream and of a connection, in
+	// bytes. A frame has a few hundred bytes. With a static window gRPC does not estimate
+	// the bandwidth, which costs a ping and its answer for nearly every frame: half of all
+	// packets on a link.
 	flowControlWindow = 1 << 20
 )
 
-// outbox gathers what goes into the next frame.
+// outbox collects the content of the next frame.
 type outbox[T any] struct {
 	mu     sync.Mutex
-	frame  *T // guarded by mu
-	closed bool
+	frame  *T   // guarded by mu
+	closed bool // guarded by mu
 	wake   chan struct{}
 }
 
@@ -33,7 +32,7 @@
 	return &outbox[T]{wake: make(chan struct{}, 1)}
 }
 
-// add lets fill extend the next frame and has it sent at once.
+// add calls fill to extend the next frame and wakes pump to send that frame immediately.
 func (o *outbox[T]) add(fill func(*T)) {
 	if o.addWithoutWake(fill) {
 		select {
@@ -43,8 +42,8 @@
 	}
 }
 
-// addQuietly lets fill extend the next frame, whenever that is sent: within
-// heartbeatEvery. It reports whether there will be one.
+// addWithoutWake calls fill to extend the next frame, which is sent within heartbeatInterval.
+// It returns false if the outbox is closed.
 func (o *outbox[T]) addWithoutWake(fill func(*T)) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -58,7 +57,7 @@
 	return true
 }
 
-// take returns the gathered frame, an empty one if there is nothing.
+// take removes and returns the collected frame, or an empty frame if nothing was added.
 func (o *outbox[T]) take() *T {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -70,7 +69,7 @@
 	return f
 }
 
-// close drops what is gathered and all that comes later.
+// close discards the collected frame and everything that is added later.
 func (o *outbox[T]) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -78,8 +77,8 @@
 	o.frame = nil
 }
 
-// pump sends what is gathered, and an empty frame whenever nothing was sent for
-// heartbeatEvery, until the context ends or send reports false.
+// pump sends the collected frames, and a frame whenever none was sent for heartbeatInterval,
+// until ctx ends or send returns false.
 func (o *outbox[T]) pump(ctx context.Context, send func(*T) bool) {
 	beat := time.NewTimer(heartbeatInterval)
 	defer beat.Stop()
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -17,48 +17,51 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// AgentHandler is the agent behind the service.
+// AgentHandler handles the events of the links to an agent, and the calls to the owners beside
+// it.
 type AgentHandler interface {
 	// Ready reports whether the agent knows what runs on its backend server.
 	Ready() bool
-	// Frame takes in a frame. An error ends the link.
+	// Frame handles a received frame. An error closes the link.
 	Frame(c *Caller, f *corepb.ToAgent) error
 	CallerDown(c *Caller)
-	// CallerUp is told of a new link, before its first frame.
+	// CallerUp is called for a new link, before its first frame.
 	CallerUp(c *Caller)
-	// BeforeSend adds the agent's news to a frame that is about to be sent.
+	// BeforeSend adds the agent's current state to a frame that is about to be sent.
 	BeforeSend(c *Caller, f *corepb.FromAgent)
-	// Submit, Lookup, Cancel and Pending are questions to an owner.
+	// Submit, Lookup, Cancel and Pending are calls to an owner.
 	Submit(shard int, id job.ID, spec job.Spec, p job.Policy, reply func(owner.Response))
 	Lookup(shard int, id job.ID) owner.Response
 	Cancel(shard int, id job.ID, reply func(owner.Response))
 	Pending(queue string) owner.Response
-	// Await replies when a job has ended.
+	// Await calls reply when the job has ended.
 	Await(shard int, id job.ID, reply func(owner.Response))
 }
 
-// Caller is the far end of a link at the agent.
+// Caller is a link as the agent sees it: the owner or entry that dialled it.
 type Caller struct {
 	Node string
-	// Orders counts the orders taken in; the caller subtracts them from what
-	// it has under way.
+	// Orders counts the orders that the agent has received on this link. The caller
+	// subtracts them from the orders that it counts as in flight.
 	Orders atomic.Int64
 
-	// heard is the number of the last frame that was taken in.
+	// lastHeartbeat is the heartbeat number of the last frame that was handled. It is
+	// sent back as the acknowledgement.
 	lastHeartbeat atomic.Int64
 	out           *outbox[corepb.FromAgent]
 }
 
-// NewCaller returns a caller of that name to which nothing is written yet.
+// NewCaller returns a caller with the given node name and an empty outbox.
 func NewCaller(node string) *Caller { return &Caller{Node: node, out: newOutbox[corepb.FromAgent]()} }
 
-// Send lets fill extend the next frame and has it sent at once.
+// Send calls fill to extend the next frame and has that frame sent immediately.
 func (c *Caller) Send(fill func(*corepb.FromAgent)) { c.out.add(fill) }
 
-// SendQuietly is Send for what may wait for the next frame that goes out anyway.
+// SendWithNextFrame is like Send, but leaves the content until the next frame that is sent
+// anyway, at the latest after heartbeatInterval.
 func (c *Caller) SendWithNextFrame(fill func(*corepb.FromAgent)) { c.out.addWithoutWake(fill) }
 
-// Server serves an agent's side of links, and questions to owners.
+// Server is the agent's side of the links. It also serves calls to owners.
 type Server struct {
 	corepb.UnimplementedCoreServer
 	handler AgentHandler
@@ -72,10 +75,10 @@
 	return s
 }
 
-// Serve serves a listener until Stop.
-func (s *Server) Serve(l net.Listener) error { return errors.Wrap(s.grpc.Serve(l), "links") }
+// Serve accepts links on l until Stop is called.
+func (s *Server) Serve(l net.Listener) error { return errors.Wrap(s.grpc.Serve(l), "serve links") }
 
-// Stop ends all links at once.
+// Stop closes all links immediately.
 func (s *Server) Stop() { s.grpc.Stop() }
 
 // Exchange implements corepb.CoreServer.
@@ -114,12 +117,13 @@
 	c.out.pump(ctx, func(f *corepb.FromAgent) bool {
 		f.Heartbeat = c.lastHeartbeat.Load()
 		s.handler.BeforeSend(c, f)
-		// The reader of this stream sees its end and says so.
+		// Exchange returns the reason for a failure, which it receives from the stream.
 		return stream.Send(f) == nil
 	})
 }
 
-// await turns a reply into a return value.
+// awaitReply calls ask and returns the first response that ask's callback receives, or an error
+// if ctx ends before.
 func awaitReply(ctx context.Context, ask func(func(owner.Response))) (*corepb.Verdict, error) {
 	got := make(chan owner.Response, 1)
 	ask(func(v owner.Response) {
