--- a/cmd/shallotstep/main.go
+++ b/cmd/shallotstep/main.go
@@ -1,5 +1,5 @@
-// Shallotstep is the operator's command line: it applies declarations, submits
-// and cancels jobs and shows what the system knows.
+// Command shallotstep is the operator's command-line client. It applies declarations, submits
+// and cancels jobs, drains failure domains and prints the state of the system.
 package main
 
 import (
--- a/cmd/shallotstepd/cgo.go
+++ b/cmd/shallotstepd/cgo.go
@@ -1,6 +1,6 @@
 package main
 
-// The platform redirects calls of the C library, so the program is linked to it
-// wherever cgo is there. Elsewhere this file is left out of the build.
+// The platform redirects calls to the C library, so the program is linked dynamically against
+// it where cgo is enabled. Without cgo this file is excluded from the build.
 
 import "C"
--- a/cmd/shallotstepd/main.go
+++ b/cmd/shallotstepd/main.go
@@ -1,5 +1,5 @@
-// Command shallotstepd is the daemon: an entry or an agent, by its settings, or
-// with -dev a whole system on loopback to try out.
+// Command shallotstepd is the daemon. It runs an entry or an agent, depending on its settings,
+// or with -dev a whole system on the loopback interface to try out.
 package main
 
 import (
