--- a/transport/pause/backoff.go
+++ b/transport/pause/backoff.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// Backoff spaces the repeats of something that fails. Without it a failure that returns at
-// once, such as a connection that is reset, is repeated as fast as the processor goes: one
-// agent beside a backend server that went down and up made 3,600 calls, each on a new
-// connection, in the time in which others made 250. The zero value is not usable.
+// Backoff computes exponentially growing delays between retries. Without it an operation that
+// fails immediately, such as a call on a connection that is reset, is retried as fast as the
+// processor allows: an agent beside a backend server that went down and came back made 3,600
+// calls, each on a new connection, in the time in which others made 250. The zero value is not
+// usable.
 type Backoff struct {
-	// Least is the first pause; each further one is twice the last, up to Most.
+	// Min is the first delay. Each further delay is twice the last one, up to Max.
 	Min, Max time.Duration
 
 	delay time.Duration
 }
 
-// Reset begins anew after a success.
+// Reset makes the next delay Min again. It is called after a success.
 func (b *Backoff) Reset() { b.delay = 0 }
 
-// After returns the pause after a failure that took so long itself: the longer it took the
-// less is left to wait. It is spread by a quarter, so that those that failed together don't
-// come back together.
+// Next advances to the next delay and returns what is left of it after an attempt that took
+// that long, or zero. A random jitter of up to a quarter either way keeps callers that failed
+// together from retrying together.
 func (b *Backoff) Next(took time.Duration) time.Duration {
 	b.delay = min(max(2*b.delay, b.Min), b.Max)
 	wait := b.delay - took
@@ -32,7 +33,7 @@
 	return wait*3/4 + rand.N(wait/2+1)
 }
 
-// Wait pauses after a failure that took so long, or until ctx ends.
+// Wait waits for the delay that Next returns, or until ctx ends, and then returns its error.
 func (b *Backoff) Wait(ctx context.Context, took time.Duration) error {
 	return For(ctx, b.Next(took))
 }
--- a/transport/pause/backoff_test.go
+++ b/transport/pause/backoff_test.go
@@ -7,8 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A call fails at once each time. Its repeats get further apart, up to a bound, and begin
-// anew after a success. One that has taken long by itself isn't held up any more.
+// Retries of a call that fails immediately get further apart up to Max, and start again at Min
+// after a success. A failed call that took longer than the delay itself is retried without a
+// delay.
 func TestBackoffGrowsUpToMax(t *testing.T) {
 	is := is.New(t)
 	b := Backoff{Min: 10 * time.Millisecond, Max: 200 * time.Millisecond}
--- a/transport/pause/pause.go
+++ b/transport/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits without outliving whoever waits.
+// Package pause waits for a fixed or growing time and stops waiting when a context ends.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d or until ctx ends, and then returns its error.
+// For waits for d and returns nil, or returns the error of ctx if that ends first.
 func For(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
