--- a/transport/asynclog/asynclog.go
+++ b/transport/asynclog/asynclog.go
@@ -1,6 +1,5 @@
-// Package asynclog writes log lines without ever holding up whoever logs: lines
-// wait in a bounded queue, and what doesn't fit or exceeds the rate is counted
-// and left out.
+// Package asynclog writes log lines without blocking the caller: lines wait in a bounded
+// queue, and lines that don't fit or exceed the rate limit are counted and dropped.
 package asynclog
 
 import (
@@ -13,35 +12,38 @@
 )
 
 const (
-	// queueLines holds the lines of a burst of some hundred decisions.
+	// queueCapacity is the number of lines in the queue, enough for a burst of a few
+	// hundred decisions.
 	queueCapacity = 2048
-	// linesPerSecond bounds the processor time that logging takes: at about
-	// 5 µs a line, 1 % of a core.
+	// maxLinesPerSecond bounds the processor time of logging: at about 5 µs a line it is
+	// 1 % of a core.
 	maxLinesPerSecond = 2000
-	// gatherFor is how long a line waits for others, so that they are written in
-	// one call: at 900 lines a second a call for each takes 2 % of a core. A
-	// process that is killed loses the lines of that time.
+	// batchDelay is how long a line waits for others, so that they are written in one
+	// call: at 900 lines a second, one call for each line takes 2 % of a core. A process
+	// that is killed loses the lines of the last batchDelay.
 	batchDelay = 20 * time.Millisecond
-	// reportEvery is the pace of the line that counts what was left out.
+	// reportInterval is the shortest time between two log lines that report the number
+	// of dropped lines.
 	reportInterval = 5 * time.Second
 )
 
-// Writer is an io.Writer for whole lines. Write never blocks.
+// Writer is an io.Writer that takes one whole line per Write. Write never blocks and is safe
+// for concurrent use.
 type Writer struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	done    chan struct{}
 }
 
-// New returns a writer in front of out. Close writes what is queued.
+// New returns a writer that writes to out in the background until Close is called.
 func New(out io.Writer) *Writer {
 	w := &Writer{lines: make(chan []byte, queueCapacity), done: make(chan struct{})}
 	go w.run(out)
 	return w
 }
 
-// Write queues a line. It reports success also for a line that is left out: the
-// count of those is written later, and nobody could do better with an error.
+// Write queues a copy of line. It returns no error for a line that is dropped: dropped lines
+// are counted in a later log line, and a caller couldn't handle the error any better.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -51,10 +53,10 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were left out since the last report.
+// Dropped returns the number of lines dropped since the last report.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what is queued and ends the writer.
+// Close writes the queued lines and stops the writer. Write must not be called afterwards.
 func (w *Writer) Close() {
 	close(w.lines)
 	<-w.done
@@ -72,17 +74,17 @@
 		if now.Sub(reported) >= reportInterval {
 			reported = now
 			if n := w.dropped.Swap(0); n > 0 {
-				text = fmt.Appendf(text, "W log lines left out: %d\n", n)
+				text = fmt.Appendf(text, "W log lines dropped: %d\n", n)
 			}
 		}
 		if _, err := out.Write(text); err != nil {
-			// Nothing is left to report this to.
+			// There is no other output to report the error to.
 			w.dropped.Add(1)
 		}
 	}
 }
 
-// gather appends a line and all that are queued, as far as the rate allows.
+// batch appends line and all queued lines to text, except those over the rate limit.
 func (w *Writer) batch(text []byte, r *rateLimiter, now time.Time, line []byte) []byte {
 	for {
 		if r.allow(now) {
@@ -102,7 +104,7 @@
 	}
 }
 
-// rate bounds the lines of any second.
+// rateLimiter bounds the number of lines in any period of one second.
 type rateLimiter struct {
 	start time.Time
 	lines sliding.Window
--- a/transport/asynclog/asynclog_test.go
+++ b/transport/asynclog/asynclog_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// countingOutput notes what is written and in how many calls.
+// countingOutput records what is written to it and counts the calls.
 type countingOutput struct {
 	mu    sync.Mutex
 	calls int
@@ -25,9 +25,9 @@
 	return o.text.Write(b)
 }
 
-// A decision on each of some hundred tasks is logged within a few milliseconds.
-// Written one by one the lines would cost a call of the system each, more than
-// making them does. All of them come out, in their order, in few calls.
+// Guards against a system call for each line of a burst, which costs more than formatting the
+// line: the decisions on a few hundred tasks are logged within a few milliseconds. All lines
+// are written in their order, in few calls.
 func TestBurstIsWrittenInFewCalls(t *testing.T) {
 	is := is.New(t)
 	var out countingOutput
@@ -45,7 +45,7 @@
 	is.True(out.calls < lines/10)
 }
 
-// blockedOutput takes nothing until it is released.
+// blockedOutput blocks every Write until release is closed.
 type blockedOutput struct{ release chan struct{} }
 
 func (o *blockedOutput) Write(b []byte) (int, error) {
@@ -53,8 +53,8 @@
 	return len(b), nil
 }
 
-// Whoever reads the log stands still. Whoever writes to it must not: lines that
-// don't fit are left out and counted, and the writers go on.
+// Guards against callers that block because the log's reader has stopped reading: lines that
+// don't fit are dropped and counted, and the callers continue.
 func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	is := is.New(t)
 	out := &blockedOutput{release: make(chan struct{})}
@@ -71,14 +71,15 @@
 	select {
 	case <-written:
 	case <-time.After(time.Minute):
-		t.Fatal("a writer was held up")
+		t.Fatal("the calls of Write did not return within a minute")
 	}
 	is.True(w.Dropped() > 0)
 	close(out.release)
 	w.Close()
 }
 
-// The rate bounds the lines of a second, and lets as many through once that has passed.
+// The limiter allows maxLinesPerSecond lines in a second, and as many again once that second
+// has passed.
 func TestRateOfLines(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -90,8 +91,8 @@
 	is.True(r.allow(now.Add(time.Second)))
 }
 
-// Guards against twice the bound of lines, and of processor time, in a second that begins in
-// the middle of a counted one.
+// Guards against counting in fixed seconds, which allows twice the limit of lines, and of
+// processor time, in a second that begins in the middle of a counted one.
 func TestLinesOfAnySecondAreBounded(t *testing.T) {
 	is := is.New(t)
 	begin := time.Now()
