--- a/transport/bootclock/bootclock.go
+++ b/transport/bootclock/bootclock.go
@@ -1,6 +1,6 @@
-// Package bootclock reads the clock that goes on while a host is suspended. The
-// steady clock of package time stands still then: a process that was suspended
-// for seconds would take its leases for fresh.
+// Package bootclock reads CLOCK_BOOTTIME, which also advances while the host is suspended. The
+// monotonic clock of package time stops during suspension, so a process that was suspended for
+// seconds would treat its expired leases as valid.
 package bootclock
 
 import (
@@ -10,11 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the host started, suspensions included.
+// Now returns the time since the host booted, including the time it was suspended.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic(errors.Wrap(err, "the boot clock is part of every Linux since 2.6.39"))
+		panic(errors.Wrap(err, "read CLOCK_BOOTTIME, which Linux has since 2.6.39"))
 	}
 	return time.Duration(ts.Nano())
 }
--- a/transport/bootclock/wallclock_test.go
+++ b/transport/bootclock/wallclock_test.go
@@ -11,10 +11,10 @@
 	"github.com/matryer/is"
 )
 
-// The time of day jumps by seconds on some hosts, to and fro. A lease, a wait or the age
-// of news that is reckoned with it ends at once or hours late, and callers see tasks
-// that are started twice or never. Differences of time.Now are of the steady clock as
-// long as nobody strips that part: no code outside of tests does.
+// Guards against leases, waits and ages that are computed from the wall clock. It jumps forwards
+// and backwards by seconds on some hosts, so they would expire at once or hours late, and
+// callers would see tasks that are started twice or never. Differences of time.Now use the
+// monotonic clock unless its reading is stripped, which only tests may do.
 func TestNoCodeReadsTheWallClock(t *testing.T) {
 	is := is.New(t)
 	wallClock := regexp.MustCompile(`\.Unix(Milli|Micro|Nano)?\(|\.Round\(0\)|time\.(Date|Parse|Unix\w*)\(|CLOCK_REALTIME`)
@@ -26,7 +26,7 @@
 		files++
 		code, err := os.ReadFile(path)
 		if found := wallClock.Find(code); found != nil {
-			t.Errorf("%s reads the time of day: %s", path, found)
+			t.Errorf("%s uses the wall clock: %s", path, found)
 		}
 		return err
 	}))
