--- a/transport/metrics/malformed.go
+++ b/transport/metrics/malformed.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Kinds of what comes from other writers and may be malformed.
+// Kinds of input from other processes that may be malformed; the values of the label kind.
 const (
 	KindReport        = "report"
 	KindConfiguration = "configuration"
@@ -16,8 +16,8 @@
 	KindDrain         = "drain"
 )
 
-// malformed counts what could not be read and was left out. Decoders have no registry
-// of their own, so it is one for the process.
+// malformed counts input that could not be decoded and was ignored. It is a global variable
+// because decoders have no access to a registry.
 var malformed = newMalformed()
 
 func newMalformed() *prometheus.CounterVec {
@@ -30,8 +30,8 @@
 	return c
 }
 
-// Malformed counts something that could not be read.
+// Malformed counts input of a kind that could not be decoded.
 func Malformed(kind string) { malformed.WithLabelValues(kind).Inc() }
 
-// MalformedCollector is for the registry of the process.
+// MalformedCollector returns the counter of Malformed, for the registry of the process.
 func MalformedCollector() prometheus.Collector { return malformed }
--- a/transport/metrics/metrics.go
+++ b/transport/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics makes the one registry of a process: the Go and process
-// collectors, the counters of refusals and retries by reason, and gauges that
-// are read from the machines' own Stats when somebody looks.
+// Package metrics provides the Prometheus registry of a process with the Go and process
+// collectors, the counter of refusals by reason and the counter of malformed input. It also
+// sets up klog.
 package metrics
 
 import (
@@ -12,20 +12,19 @@
 
 const namespace = "shallotstep"
 
-// reasonLabel holds a state.Reason, the same word as in problem documents.
+// reasonLabel is the label with a state.Reason, the same value as in problem documents.
 const reasonLabel = "reason"
 
-// Metrics is what a process counts. It is safe for concurrent use.
+// Metrics holds the registry and the counters of a process. It is safe for concurrent use.
 type Metrics struct {
-	// Registry is served at /metrics; other packages register with it.
+	// Registry is served at /metrics. Other packages register their collectors with it.
 	Registry *prometheus.Registry
-	// Refusals counts refusals of the process's HTTP interface, by reason.
+	// Refusals counts the refusals of the process's HTTP API, by reason.
 	Refusals *prometheus.CounterVec
 }
 
-// New returns the metrics of a process, with every documented reason at zero. A
-// series that comes into being with its first count hides that count from rates
-// and alerts.
+// New returns the metrics of a process. The series of every documented reason starts at zero: a
+// series that only appears with its first count hides that count from rates and alerts.
 func New() *Metrics {
 	m := &Metrics{
 		Registry: prometheus.NewRegistry(),
@@ -48,7 +47,7 @@
 	return vec
 }
 
-// Refused counts a refusal. Words that are not documented share one series.
+// Refused counts a refusal. All undocumented reasons share one series.
 func (m *Metrics) Refused(reason state.Reason) {
 	m.Refusals.WithLabelValues(string(reason.Normalize())).Inc()
 }
--- a/transport/metrics/metrics_test.go
+++ b/transport/metrics/metrics_test.go
@@ -12,8 +12,9 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// An alert on the growth of a reason's counter must see its first count, so
-// every reason is there at zero; and words from peers must add no series.
+// An alert on the increase of a reason's counter must see its first count, so the series of
+// every reason exists from the start with the value zero. Undocumented reasons from other
+// processes must not add series.
 func TestReasonSeriesStartAtZero(t *testing.T) {
 	is := is.New(t)
 	m := New()
@@ -28,7 +29,7 @@
 	is.Equal(testutil.CollectAndCount(m.Refusals), reasons)
 }
 
-// What the process counts has to be readable by whatever scrapes it.
+// The registry must pass the Prometheus linter, so that every scraper can read it.
 func TestRegistryIsWellFormed(t *testing.T) {
 	is := is.New(t)
 	problems, err := testutil.GatherAndLint(New().Registry)
@@ -36,8 +37,8 @@
 	is.Equal(len(problems), 0)
 }
 
-// What a process logs goes to the writer that it was given, errors too, each as
-// one line; nothing goes past it.
+// Every log line of a process, errors included, is written once to the writer given to
+// SetupLog.
 func TestLogIsWrittenToItsWriter(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
