--- a/transport/httpclient/calls.go
+++ b/transport/httpclient/calls.go
@@ -10,9 +10,9 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// Submit sends a submission once and waits for its answer. It takes only the
-// whole answer to this very submission: a mixed-up or short one counts as
-// lost, and the same id may be submitted again.
+// Submit sends a submission once and waits for its answer. An answer to another job, or one
+// without a result for each task, is treated as a lost reply: the outcome is unknown, and the
+// same id may be submitted again.
 func (c *Client) Submit(ctx context.Context, s api.Submission) (api.Answer, *Failure) {
 	a, f := callJSON[api.Answer](ctx, c, submitCall(s))
 	if f != nil {
@@ -28,8 +28,8 @@
 	return a, nil
 }
 
-// Accept sends a submission and waits until it is accepted. Its outcome is
-// pending, or complete if it has ended already.
+// Accept sends a submission once and waits until it is accepted. The outcome of the answer is
+// pending, or complete if the job has already ended.
 func (c *Client) Accept(ctx context.Context, s api.Submission) (api.Answer, *Failure) {
 	k := submitCall(s)
 	k.header = http.Header{"Prefer": {"respond-async"}}
@@ -52,13 +52,13 @@
 	}
 }
 
-// Query asks for the state of a job and starts nothing.
+// Query returns the state of a job. It never starts a job.
 func (c *Client) Query(ctx context.Context, key state.JobKey) (api.Answer, *Failure) {
 	return callJSON[api.Answer](ctx, c, jobCall(http.MethodGet, key))
 }
 
-// Cancel stops a job. The answer is what the job came to: cancelled, or
-// complete where the cancellation came too late.
+// Cancel cancels a job. The answer is the outcome of the job: cancelled, or complete if the
+// cancellation was too late.
 func (c *Client) Cancel(ctx context.Context, key state.JobKey) (api.Answer, *Failure) {
 	return callJSON[api.Answer](ctx, c, jobCall(http.MethodDelete, key))
 }
@@ -67,7 +67,7 @@
 	return call{method: method, path: []string{"v1", "services", key.Service, "jobs", key.ID}}
 }
 
-// Declaration returns an operator's declaration in force.
+// Declaration returns the declaration of an operator that is in force.
 func (c *Client) Declaration(ctx context.Context, operator string) (api.Declaration, *Failure) {
 	r, f := c.do(ctx, declarationCall(http.MethodGet, operator))
 	if f != nil {
@@ -80,14 +80,15 @@
 	return api.Declaration{Version: v, Raw: r.body}, nil
 }
 
-// History returns an operator's accepted declarations.
+// History returns the accepted declarations of an operator.
 func (c *Client) History(ctx context.Context, operator string) (api.History, *Failure) {
 	k := declarationCall(http.MethodGet, operator)
 	k.path = append(k.path, "history")
 	return callJSON[api.History](ctx, c, k)
 }
 
-// Apply sends a declaration once. A base of zero means that it is the first.
+// Apply sends a declaration once. base is the version that it replaces, or zero if it is the
+// first.
 func (c *Client) Apply(ctx context.Context, operator string, base state.Version, raw []byte) (api.Applied, *Failure) {
 	k := declarationCall(http.MethodPut, operator)
 	k.body = raw
@@ -118,12 +119,12 @@
 	return callJSON[api.DrainList](ctx, c, call{method: http.MethodGet, path: []string{"v1", "drains"}})
 }
 
-// DrainHistory returns what was asked for a failure domain.
+// DrainHistory returns the drain requests for a failure domain.
 func (c *Client) DrainHistory(ctx context.Context, domain string) (api.DrainHistory, *Failure) {
 	return callJSON[api.DrainHistory](ctx, c, call{method: http.MethodGet, path: []string{"v1", "drains", domain, "history"}})
 }
 
-// Status returns what the entry knows of the system.
+// Status returns the state of the system as the entry knows it.
 func (c *Client) Status(ctx context.Context) (api.Status, *Failure) {
 	return callJSON[api.Status](ctx, c, call{method: http.MethodGet, path: []string{"v1", "status"}})
 }
--- a/transport/httpclient/client.go
+++ b/transport/httpclient/client.go
@@ -1,6 +1,5 @@
-// Package httpclient is the Go client of an entry's HTTP interface. It never
-// claims more than it knows: where a reply is lost or doesn't hold together,
-// the outcome is unknown.
+// Package httpclient is the Go client of an entry's HTTP API. If a reply is lost, incomplete or
+// inconsistent, the outcome that it reports is state.Unknown.
 package httpclient
 
 import (
@@ -25,23 +24,24 @@
 	"github.com/shallotstep/shallotstep/transport/pause"
 )
 
-// maxReplyBytes bounds one reply: a thousand results of a quarter MiB.
+// maxReplyBytes bounds the body of one reply. It fits a thousand results of 256 KiB.
 const maxReplyBytes = 256 << 20
 
-// Options are what a client works with.
+// Options configures a Client.
 type Options struct {
-	// Addr is host:port or a base URL. Without a scheme it is https when CA is
+	// Addr is the entry's host:port or base URL. Without a scheme, https is used if CA is
 	// set and http otherwise.
 	Addr string
-	// Token is the bearer token. Empty sends none.
+	// Token is the bearer token. If it is empty, no Authorization header is sent.
 	Token string
-	// CA, when set, replaces the system's certificate authorities.
+	// CA, if set, replaces the certificate authorities of the host.
 	CA *x509.CertPool
-	// Sleep waits between tries. Nil means real time.
+	// Sleep waits between attempts and returns an error if ctx ends before. Nil means
+	// pause.For.
 	Sleep func(ctx context.Context, d time.Duration) error
 }
 
-// Client talks to one entry. It is safe for concurrent use.
+// Client calls one entry. It is safe for concurrent use.
 type Client struct {
 	base  *url.URL
 	token string
@@ -49,7 +49,7 @@
 	sleep func(ctx context.Context, d time.Duration) error
 }
 
-// New returns a client. It fails on an address that is none.
+// New returns a client for the entry at o.Addr. It returns an error if that is not an address.
 func New(o Options) (*Client, error) {
 	addr := o.Addr
 	if !strings.Contains(addr, "://") {
@@ -61,10 +61,10 @@
 	}
 	base, err := url.Parse(addr)
 	if err != nil || base.Host == "" {
-		return nil, errors.Errorf("%q is no address of an entry", o.Addr)
+		return nil, errors.Errorf("entry address %q is neither host:port nor a URL with a host", o.Addr)
 	}
 	transport := http.DefaultTransport.(*http.Transport).Clone()
-	// The token is for the entry and no proxy in between.
+	// The token must not be sent to a proxy.
 	transport.Proxy = nil
 	if o.CA != nil {
 		transport.TLSClientConfig = &tls.Config{RootCAs: o.CA, MinVersion: tls.VersionTLS12}
@@ -76,19 +76,19 @@
 	return &Client{base: base, token: o.Token, http: &http.Client{Transport: transport}, sleep: sleep}, nil
 }
 
-// Failure is why a call brought no answer.
+// Failure is the reason why a call returned no answer.
 type Failure struct {
-	// Outcome is what is known of the work that was asked for.
+	// Outcome is what is known about the requested operation.
 	Outcome state.Outcome
-	// Problem is the entry's refusal, nil where the client itself failed.
+	// Problem is the problem document from the entry, or nil if there is none.
 	Problem *api.Problem
-	// Err is the client's own error, nil where the entry refused.
+	// Err is the error of the client, or nil if Problem is set.
 	Err error
-	// NotSent says that no byte of this attempt left the client.
+	// NotSent is true if no byte of the request was sent.
 	NotSent bool
 }
 
-// String returns the failure on one line.
+// String returns the failure as one line of text.
 func (f *Failure) String() string {
 	if f.Problem != nil {
 		return f.Problem.String()
@@ -99,7 +99,7 @@
 	return f.Outcome.String() + ": " + f.Err.Error()
 }
 
-// RetryAfter returns when the entry wants to be asked again, or zero.
+// RetryAfter returns how long the entry asks the client to wait before a retry, or zero.
 func (f *Failure) RetryAfter() time.Duration {
 	if f.Problem == nil {
 		return 0
@@ -107,7 +107,7 @@
 	return f.Problem.RetryAfter
 }
 
-// call is one HTTP request.
+// call describes one HTTP request. The segments of path are escaped one by one.
 type call struct {
 	method string
 	path   []string
@@ -115,14 +115,14 @@
 	header http.Header
 }
 
-// reply is one whole HTTP reply with status 200.
+// reply is a complete HTTP response with status 200.
 type reply struct {
 	header http.Header
 	body   []byte
 }
 
-// do makes one call. Any reply that is not a whole 200 or a problem document
-// leaves the outcome unknown.
+// do sends one request. A response that is neither a complete 200 nor a problem document leaves
+// the outcome unknown.
 func (c *Client) do(ctx context.Context, k call) (reply, *Failure) {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -176,8 +176,8 @@
 	return &Failure{Outcome: state.Unknown, Err: err}
 }
 
-// refused reads a problem document. Anything else, such as a balancer's own
-// error page, says nothing of the outcome.
+// failureFromResponse decodes a problem document. Any other response, such as the error page of
+// a load balancer, leaves the outcome unknown.
 func failureFromResponse(res *http.Response, body []byte) *Failure {
 	mediaType, _, _ := mime.ParseMediaType(res.Header.Get("Content-Type"))
 	if mediaType != api.ContentTypeProblem {
@@ -190,7 +190,7 @@
 	return &Failure{Outcome: p.Outcome, Problem: &p}
 }
 
-// document makes a call whose answer is a JSON document.
+// callJSON sends a request and decodes the JSON document in the response.
 func callJSON[T any](ctx context.Context, c *Client, k call) (T, *Failure) {
 	var doc T
 	r, f := c.do(ctx, k)
--- a/transport/httpclient/retry.go
+++ b/transport/httpclient/retry.go
@@ -11,19 +11,19 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// Waits between tries.
+// Delays between attempts.
 const (
-	// settleInterval is how often a lost apply is looked up. News of an
-	// accepted declaration takes seconds at most.
+	// applyPollInterval is the interval at which the result of an apply is polled after its
+	// reply was lost. An accepted declaration is visible within seconds.
 	applyPollInterval = 500 * time.Millisecond
-	// firstBackoff doubles with each resubmission up to maxBackoff.
+	// minBackoff is the first delay; it doubles with each resubmission up to maxBackoff.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 5 * time.Second
 )
 
-// ApplySettled sends a declaration once and, where its fate is unknown, reads
-// until it is known or ctx ends. It never sends the declaration again: a second
-// append behind another operator's change could take that change back.
+// ApplyAndConfirm sends a declaration once. If the outcome is unknown, it polls the history
+// until the outcome is known or ctx ends. It never sends the declaration again, because a second
+// append after another operator's change could undo that change.
 func (c *Client) ApplyAndConfirm(ctx context.Context, operator string, base state.Version, raw []byte) (api.Applied, *Failure) {
 	applied, f := c.Apply(ctx, operator, base, raw)
 	if f == nil || f.Outcome != state.Unknown || f.NotSent {
@@ -44,14 +44,14 @@
 	}
 }
 
-// fate is what reading tells of a declaration whose reply was lost.
+// raceResult is what the history shows about a declaration whose reply was lost.
 type raceResult uint8
 
 const (
-	raceOpen       raceResult = iota // nothing has replaced the base yet
-	raceWon                          // it replaced the base, or is in force
-	raceLost                         // another one replaced the base
-	raceUnresolved                   // the base was replaced, but no longer by whom
+	raceOpen       raceResult = iota // no declaration has replaced the base yet
+	raceWon                          // the declaration replaced the base, or is in force
+	raceLost                         // another declaration replaced the base
+	raceUnresolved                   // the base was replaced, but the history no longer shows by which declaration
 )
 
 type raceState struct {
@@ -59,8 +59,8 @@
 	version state.Version
 }
 
-// lookUp reads what replaced base. In log order only one declaration can, so
-// that finding it settles the matter.
+// resolveApply looks up which declaration replaced base. In the order of the log only one can
+// replace it, so finding that one decides the outcome.
 func (c *Client) resolveApply(ctx context.Context, operator string, base state.Version, raw []byte) raceState {
 	h, f := c.History(ctx, operator)
 	if f != nil {
@@ -105,14 +105,14 @@
 	return &Failure{Outcome: state.NotRun, Problem: p}
 }
 
-// SubmitSettled submits until there is an answer, the entry refuses for good,
-// the tries are used up or ctx ends. Every try carries the same id, so that it
-// joins what an earlier one may have started.
+// SubmitWithRetry submits until there is an answer or a refusal that is not worth a retry, after
+// maxAttempts attempts, or until ctx ends. Every attempt has the same id, so it joins the job
+// that an earlier attempt may have started.
 func (c *Client) SubmitWithRetry(ctx context.Context, s api.Submission, maxAttempts int) (api.Answer, *Failure) {
 	return c.retry(ctx, maxAttempts, func() (api.Answer, *Failure) { return c.Submit(ctx, s) })
 }
 
-// AcceptSettled is SubmitSettled for a caller that doesn't wait for the results.
+// AcceptWithRetry is like SubmitWithRetry, but only waits until the job is accepted.
 func (c *Client) AcceptWithRetry(ctx context.Context, s api.Submission, maxAttempts int) (api.Answer, *Failure) {
 	return c.retry(ctx, maxAttempts, func() (api.Answer, *Failure) { return c.Accept(ctx, s) })
 }
@@ -133,9 +133,9 @@
 	}
 }
 
-// doubtful takes back a "not run" when the fate of an earlier try is open. That
-// try may still sit in a slow entry and be granted after this one was refused,
-// so the caller would take a job for dead that runs a moment later.
+// keepUnknown changes the outcome "not run" of the last attempt to unknown if the outcome of an
+// earlier attempt is unknown. A slow entry may still accept the earlier attempt after this one
+// was refused, and the caller would treat a job as not run that starts a moment later.
 func keepUnknown(f *Failure, unknown bool) *Failure {
 	if unknown && (f.Outcome == state.NotRun || f.NotSent) {
 		f.Outcome = state.Unknown
@@ -144,8 +144,8 @@
 	return f
 }
 
-// worthRetry says whether the same submission may fare better: after a lost
-// reply, or where the entry says when to come back. A failed job stays failed.
+// retryable reports whether another attempt with the same submission may succeed: after a lost
+// reply, or if the refusal has a retry-after time. A failed job stays failed.
 func retryable(f *Failure) bool {
 	if f.Problem == nil {
 		return true
