--- a/transport/httpapi/auth.go
+++ b/transport/httpapi/auth.go
@@ -11,20 +11,20 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// Role is what the holder of a token may do.
+// Role is the set of operations that a token permits.
 type Role string
 
-// The roles. Each may do what the one before it may.
+// The roles, in ascending order. Each includes the permissions of the one before it.
 const (
-	// RoleCaller submits to the services of its operator.
+	// RoleCaller may submit to the services of its operator.
 	RoleCaller Role = "caller"
-	// RoleOperator also declares for its operator and reads the status.
+	// RoleOperator may also apply declarations of its operator and read the status.
 	RoleOperator Role = "operator"
-	// RoleAdmin acts for every operator.
+	// RoleAdmin may act for every operator and drain failure domains.
 	RoleAdmin Role = "admin"
 )
 
-// rank orders the roles; an unknown one ranks below all.
+// rank returns the position of a role in the order of roles, or zero for an unknown role.
 func (r Role) rank() int {
 	switch r {
 	case RoleCaller:
@@ -37,33 +37,32 @@
 	return 0
 }
 
-// Token is one bearer token and whom it stands for.
+// Token is a bearer token with the operator and role that it authenticates.
 type Token struct {
 	Secret   string
 	Operator string // unused for RoleAdmin
 	Role     Role
 }
 
-// principal is who asks.
+// principal is the authenticated sender of a request.
 type principal struct {
 	operator string
 	role     Role
 }
 
-// actsFor says whether the principal may act for an operator.
+// mayActFor reports whether the principal may act for an operator.
 func (p principal) mayActFor(operator string) bool {
 	return p.role == RoleAdmin || (p.operator == operator && operator != "")
 }
 
-// prefixSize is how much of a token's digest finds it in the table.
+// digestPrefixSize is the number of bytes of a token's digest that form its key in a tokenTable.
 const digestPrefixSize = 8
 
 type digestPrefix [digestPrefixSize]byte
 
-// tokenTable finds a principal by the start of its token's digest and then
-// compares the whole digests in constant time. The time that a lookup takes
-// tells nothing about the secrets, because whoever guesses at a token can't
-// steer its digest.
+// tokenTable maps the prefix of a token's digest to the whole digest, which is compared in
+// constant time, and the principal. The duration of a lookup discloses nothing about the secrets,
+// because an attacker who guesses tokens can't choose their digests.
 type tokenTable map[digestPrefix]tokenEntry
 
 type tokenEntry struct {
@@ -81,7 +80,7 @@
 }
 
 func (t tokenTable) find(secret string) (principal, bool) {
-	// An empty secret in the settings is a mistake and opens nothing.
+	// An empty secret in the settings is a mistake and must not grant access.
 	if secret == "" {
 		return principal{}, false
 	}
@@ -93,7 +92,8 @@
 	return e.principal, true
 }
 
-// authorize finds out who asks and whether its role is enough.
+// authorize authenticates the sender of the request, stores it in x.principal and checks that it
+// has at least the role minRole.
 func (s *server) authorize(x *exchange, minRole Role) *api.Problem {
 	who, ok := s.authenticate(x.req)
 	if !ok {
@@ -106,9 +106,9 @@
 	return nil
 }
 
-// authenticate finds out who asks. Without tokens the loopback interface is
-// the only protection, so that nobody else is let in, whatever address the
-// listener was given.
+// authenticate returns the principal of a request. If no tokens are configured, the loopback
+// interface is the only protection, so requests from other addresses are refused whatever address
+// the server listens on.
 func (s *server) authenticate(req *http.Request) (principal, bool) {
 	if len(s.Tokens) == 0 {
 		return principal{role: RoleAdmin}, fromLoopback(req)
--- a/transport/httpapi/body.go
+++ b/transport/httpapi/body.go
@@ -14,15 +14,16 @@
 
 // Limits on reading bodies.
 const (
-	// bodyTimeout bounds how long a caller may take to send its body.
+	// bodyTimeout bounds the time in which a caller must send its body.
 	bodyTimeout = 30 * time.Second
-	// DefaultMaxHeldBytes bounds the bodies in memory at once, to 32 of the
-	// largest.
+	// DefaultMaxBufferedBytes bounds the memory for request bodies to 32 bodies of the
+	// largest size.
 	DefaultMaxBufferedBytes = 32 * state.MaxBodyBytes
-	// firstBodyBytes bounds what is set aside on a caller's word alone.
+	// initialBufferBytes bounds the buffer that is allocated for a Content-Length before any
+	// of the body has arrived.
 	initialBufferBytes = 64 << 10
-	// overloadRetryAfter is when a caller refused for want of memory may come
-	// back: bodies are held for about as long as a short job runs.
+	// overloadRetryAfter is the retry-after time of a refusal because of the limit on
+	// buffered bodies: a body is buffered for about as long as a short job runs.
 	overloadRetryAfter = time.Second
 )
 
@@ -31,7 +32,8 @@
 	errNotFinal = errors.New("the answer is not final")
 )
 
-// readBody reads a whole body and reserves memory for it until release.
+// readBody reads a whole body. Its size counts towards the limit on buffered bytes until release
+// is called.
 func (s *server) readBody(x *exchange) (body []byte, release func(), p *api.Problem) {
 	size := x.req.ContentLength
 	if size > state.MaxBodyBytes {
@@ -40,8 +42,8 @@
 	if size < 0 {
 		size = state.MaxBodyBytes
 	}
-	// Without this bound a burst of large bodies takes the process's memory
-	// before any queue limit is asked; refusing first is enough, because the
+	// Without this limit a burst of large bodies uses up the memory of the process before
+	// any queue limit applies. It is sufficient to refuse the request here, because the
 	// body has not been read yet.
 	if !s.bufferedBytes.TryAcquire(size) {
 		return nil, nil, x.overloaded()
@@ -51,7 +53,7 @@
 		s.bufferedBytes.Release(size)
 		return nil, nil, p
 	}
-	// A body that didn't state its length was reserved for in full.
+	// For a body without Content-Length the largest size was reserved.
 	length := int64(len(body))
 	s.bufferedBytes.Release(size - length)
 	return body, func() { s.bufferedBytes.Release(length) }, nil
@@ -59,8 +61,8 @@
 
 func readAll(x *exchange, size int64) ([]byte, *api.Problem) {
 	ctl := http.NewResponseController(x.w)
-	// The deadline is taken back after the body, or it would end the wait for
-	// the answer. A connection without deadlines, as in tests, is no error.
+	// The deadline is cleared after the body has been read, or it would end the wait for the
+	// answer. A ResponseWriter without deadlines, as in tests, is not an error.
 	_ = ctl.SetReadDeadline(time.Now().Add(bodyTimeout))
 	defer func() { _ = ctl.SetReadDeadline(time.Time{}) }()
 	var buf bytes.Buffer
@@ -71,7 +73,8 @@
 		return nil, api.TooLarge()
 	}
 	if err != nil {
-		// What the caller meant to send isn't known, and may have run before.
+		// It is unknown which job the caller meant to submit; an earlier attempt may have
+		// run.
 		return nil, api.NewProblem(state.ReasonMalformed, x.refusalOutcome, "the body could not be read: %v", err)
 	}
 	return buf.Bytes(), nil
--- a/transport/httpapi/declarations.go
+++ b/transport/httpapi/declarations.go
@@ -24,8 +24,8 @@
 		return
 	}
 	defer release()
-	// The record may be in the log even if the operator has gone away, so its
-	// fate is followed to the end all the same.
+	// The record may reach the log even if the operator disconnects, so the disconnect
+	// doesn't cancel the apply.
 	applied := s.Declarer.Apply(x.detached(), operator, base, raw)
 	if applied.Outcome != state.Complete || applied.Reason != state.ReasonNone {
 		x.refuse(applyProblem(applied))
@@ -48,9 +48,9 @@
 	return p
 }
 
-// baseVersion reads the version that a declaration replaces. It is never
-// guessed: two operators who both meant "whatever is there" would overwrite
-// each other unseen.
+// baseVersion returns the version that a declaration replaces, from If-Match or If-None-Match. It
+// has no default: two users who both replaced the current version, whatever it is, would
+// overwrite each other's change without noticing.
 func baseVersion(h http.Header) (state.Version, *api.Problem) {
 	match, none := h.Values("If-Match"), h.Values("If-None-Match")
 	switch {
@@ -89,8 +89,7 @@
 	x.answer(api.History{Operator: operator, Entries: nonNil(s.Declarer.History(operator))})
 }
 
-// ownOperator returns the operator that is asked for, if the asker may act
-// for it.
+// authorizedOperator returns the operator in the path if the principal may act for it.
 func (s *server) authorizedOperator(x *exchange) (string, *api.Problem) {
 	operator := x.params.ByName("operator")
 	if p := api.CheckOperator(operator); p != nil {
--- a/transport/httpapi/drains.go
+++ b/transport/httpapi/drains.go
@@ -15,8 +15,8 @@
 		x.refuse(p)
 		return
 	}
-	// The record may be in the store even if the operator has gone away, so its fate is
-	// followed to the end all the same.
+	// The record may reach the store even if the operator disconnects, so the disconnect
+	// doesn't cancel the change.
 	applied := s.Drainer.SetDrain(x.detached(), domain, drained)
 	if applied.Outcome != state.Complete || applied.Reason != state.ReasonNone {
 		x.refuse(applyProblem(applied))
--- a/transport/httpapi/exchange.go
+++ b/transport/httpapi/exchange.go
@@ -12,8 +12,8 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// answerTimeout bounds how long a caller may take to read its answer. There is
-// no bound on the whole exchange, because the caller's deadline is one.
+// answerTimeout bounds the time in which a caller must read its answer. The exchange as a whole
+// has no timeout, because it is bounded by the caller's deadline.
 const answerTimeout = 30 * time.Second
 
 // exchange is one HTTP request and its answer.
@@ -23,10 +23,10 @@
 	params    httprouter.Params
 	route     string
 	principal principal
-	// turnedAway is the outcome of an attempt that is refused before its job
-	// is known. On the routes of jobs it is Unknown: an earlier attempt under
-	// the same id, through another entry or with another token, may have run,
-	// and "not run" would invite the caller to start it under a second id.
+	// refusalOutcome is the outcome in a refusal before the job is identified. On the routes
+	// of jobs it is Unknown: an earlier attempt with the same id, through another entry or
+	// with another token, may have run, and after "not run" the caller might start the job
+	// under a second id.
 	refusalOutcome state.Outcome
 	metrics        *metrics
 	start          time.Time
@@ -52,7 +52,7 @@
 	}
 }
 
-// refuse writes a problem document and counts it by its reason.
+// refuse writes a problem document and counts the refusal.
 func (x *exchange) refuse(p *api.Problem) {
 	x.metrics.refused(x.route, p.Reason, p.Outcome)
 	body, err := api.EncodeDocument(p)
@@ -78,7 +78,8 @@
 	x.write(http.StatusOK, api.ContentTypeJSON, body)
 }
 
-// internal answers when a check on the answer to a job failed.
+// refuseInternal refuses with an internal error because the answer to a job failed a check. The
+// error is logged and the answer is withheld.
 func (x *exchange) refuseInternal(id string, o state.Outcome, err error) {
 	klog.ErrorS(err, "Withheld an answer that failed its check", "route", x.route, "id", id)
 	p := api.NewProblem(state.ReasonInternal, o, "%v", err)
@@ -86,14 +87,12 @@
 	x.refuse(p)
 }
 
-// write sends a whole body. Its length goes out first: a connection that
-// breaks in the middle then leaves the caller with an error in its hands and
-// not with an answer that looks complete.
+// write sends a response with its Content-Length, so that a caller whose connection breaks in the
+// middle of the body gets an error instead of an answer that looks complete.
 func (x *exchange) write(status int, contentType string, body []byte) {
 	x.status = status
 	ctl := http.NewResponseController(x.w)
-	// A writer without deadlines, as in tests, is no reason to withhold the
-	// answer.
+	// A ResponseWriter without deadlines, as in tests, is not an error.
 	_ = ctl.SetWriteDeadline(time.Now().Add(answerTimeout))
 	h := x.w.Header()
 	h.Set("Content-Type", contentType)
@@ -105,6 +104,6 @@
 		return
 	}
 	if _, err := x.w.Write(body); err != nil {
-		klog.V(2).InfoS("The caller went away before its answer", "route", x.route, "err", err)
+		klog.V(2).InfoS("The caller disconnected before its answer was written", "route", x.route, "err", err)
 	}
 }
--- a/transport/httpapi/fakes_test.go
+++ b/transport/httpapi/fakes_test.go
@@ -17,13 +17,14 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// fakeDispatcher answers each job by its id, or echoes its payloads. A job that
-// is submitted again joins the one that runs.
+// fakeDispatcher returns the answer that is set for a job's id, or echoes the payloads. A job that
+// is submitted again joins the running one.
 type fakeDispatcher struct {
 	answers map[string]state.Answer
-	// gate, when set, keeps jobs running until it closes.
+	// gate, if set, keeps jobs running until it is closed.
 	gate chan struct{}
-	// entered takes the id of every Submit, left of every caller that went.
+	// While gate is set, entered receives the id of every Submit, and left that of every
+	// caller that disconnected.
 	entered, left chan string
 
 	mu       sync.Mutex
@@ -73,12 +74,11 @@
 	return f.Query(ctx, key)
 }
 
-// fakeDeclarer keeps one line of versions per operator. It serves one session
-// at a time.
+// fakeDeclarer keeps one sequence of versions per operator. It is not safe for concurrent use.
 type fakeDeclarer struct {
 	services map[string]string
 	next     state.Version
-	// applyResult, when set, answers every apply.
+	// applyResult, if set, is the result of every Apply.
 	applyResult *state.ApplyResult
 	inForce     map[string]Declaration
 	accepted    map[string][]HistoryEntry
@@ -142,15 +142,14 @@
 
 func (fakeStatus) Status() StatusDocument { return StatusDocument{Node: "entry-1"} }
 
-// The resources that the tests ask for.
+// Paths and a body of the requests in the tests.
 const (
 	jobsPath     = "/v1/services/bench-desk/jobs"
 	requestsPath = "/v1/services/bench-desk/requests"
 	oneTaskBody  = `{"id":"j1","deadline_ms":2500,"tasks":[{"payload":{"doll":"porcelain"},"expected_ms":300}]}`
 )
 
-// answers are what the fake dispatcher says of the jobs with these ids. The
-// rest of them are refusals, whose reasons are their ids.
+// answers returns the answers of the fake dispatcher by job id. For a refusal the id is its reason.
 func answers() map[string]state.Answer {
 	out := map[string]state.Answer{
 		"two": {
@@ -175,7 +174,7 @@
 	return out
 }
 
-// testServer is a running server over fakes.
+// testServer is a running HTTP server over fakes.
 type testServer struct {
 	is         *is.I
 	url        string
@@ -205,7 +204,7 @@
 	return ts
 }
 
-// start starts the server anew.
+// start starts a server with the options o and the fakes. Later requests are sent to it.
 func (ts *testServer) start(t *testing.T, o Options) {
 	o.Dispatcher, o.Declarer, o.Drainer, o.Status = ts.dispatcher, ts.declarer, &fakeDrainer{}, fakeStatus{}
 	o.Ready = func() bool { return ts.ready }
@@ -216,7 +215,7 @@
 	ts.url = srv.URL
 }
 
-// hasMetric says whether /metrics has a line.
+// hasMetric reports whether /metrics has the given line.
 func (ts *testServer) hasMetric(line string) bool {
 	res := ts.do("GET", "/metrics", "")
 	defer res.Body.Close()
--- a/transport/httpapi/golden_test.go
+++ b/transport/httpapi/golden_test.go
@@ -18,9 +18,9 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-var update = flag.Bool("update", false, "write the answers in the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// setups are the benches of the sessions that need another one than newBench's.
+// setups change the server for the sessions that need another one than that of newTestServer.
 var setups = map[string]func(*testServer, *Options){
 	"not-ready": func(ts *testServer, _ *Options) { ts.ready = false },
 	"log-out-of-service": func(ts *testServer, _ *Options) {
@@ -37,9 +37,9 @@
 	},
 }
 
-// A golden file is a whole session over one connection: the lines with "> " are
-// sent as they stand, the rest is what must come back, every byte but the date.
-// To add an exchange, write its "> " lines and run with -update.
+// A golden file is a session over one connection: the lines with "> " are sent as they are, and the
+// responses must equal the other lines byte by byte, except for the Date header. To add an exchange,
+// write its "> " lines and run the test with -update.
 func TestGoldenSessions(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.golden")
 	is := is.New(t)
@@ -82,7 +82,8 @@
 	return out
 }
 
-// runSession sends the requests over one connection and returns the session.
+// runSession sends the requests over one connection and returns the session in the form of a golden
+// file.
 func (ts *testServer) runSession(requests []string) []byte {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(ts.url, "http://"))
 	ts.is.NoErr(err)
--- a/transport/httpapi/handler.go
+++ b/transport/httpapi/handler.go
@@ -13,7 +13,8 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// server holds what the handlers share. It has no state of its own to guard.
+// server holds what the handlers share. It has no mutable state of its own besides bufferedBytes,
+// which is safe for concurrent use.
 type server struct {
 	Options
 	tokens        tokenTable
@@ -21,7 +22,7 @@
 	bufferedBytes *semaphore.Weighted
 }
 
-// New returns the handler of an entry's HTTP interface.
+// New returns the handler of an entry's HTTP API.
 func New(o Options) http.Handler {
 	if o.Registry == nil {
 		o.Registry = prometheus.NewRegistry()
@@ -40,8 +41,8 @@
 	}
 	routes := s.routes()
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		// The deadline of the connection's previous answer would otherwise cut
-		// off one that is written later.
+		// Clear the write deadline of the connection's previous answer, which would
+		// otherwise apply to this one.
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 		routes.ServeHTTP(w, req)
 	})
@@ -49,14 +50,14 @@
 
 func (s *server) routes() http.Handler {
 	r := httprouter.New()
-	// A redirect would send a submission a second time, and a cleaned path
-	// may name another job.
+	// A redirect would make clients send a submission twice, and a cleaned path may
+	// identify another job.
 	r.RedirectTrailingSlash = false
 	r.RedirectFixedPath = false
 	r.NotFound = s.public("none", s.notFound)
 	r.MethodNotAllowed = s.public("none", s.methodNotAllowed)
 
-	// An id may hold slashes, hence the catch-all.
+	// An id may contain slashes, so its parameter is a catch-all.
 	s.handle(r, http.MethodPost, "/v1/services/:service/jobs", RoleCaller, s.submitJob)
 	s.handle(r, http.MethodGet, "/v1/services/:service/jobs/*id", RoleCaller, s.queryJob)
 	s.handle(r, http.MethodDelete, "/v1/services/:service/jobs/*id", RoleCaller, s.cancelJob)
@@ -66,7 +67,7 @@
 	s.handle(r, http.MethodGet, "/v1/declarations/:operator", RoleOperator, s.getDeclaration)
 	s.handle(r, http.MethodGet, "/v1/declarations/:operator/history", RoleOperator, s.getHistory)
 
-	// A drain concerns all operators.
+	// A drain affects all operators, so it needs RoleAdmin.
 	s.handle(r, http.MethodPut, "/v1/drains/:domain", RoleAdmin, s.setDrain)
 	s.handle(r, http.MethodDelete, "/v1/drains/:domain", RoleAdmin, s.endDrain)
 	s.handle(r, http.MethodGet, "/v1/drains", RoleOperator, s.listDrains)
@@ -81,7 +82,7 @@
 	return r
 }
 
-// handle registers a resource that needs at least a role.
+// handle registers a route that needs at least the role minRole.
 func (s *server) handle(r *httprouter.Router, method, route string, minRole Role, h func(*exchange)) {
 	r.Handle(method, route, func(w http.ResponseWriter, req *http.Request, ps httprouter.Params) {
 		x := s.begin(w, req, ps, route)
@@ -97,7 +98,7 @@
 	})
 }
 
-// plain makes a handler of a resource that is open to everybody.
+// public returns the handler of a route that needs no authorization.
 func (s *server) public(route string, h func(*exchange)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		x := s.begin(w, req, nil, route)
--- a/transport/httpapi/handler_test.go
+++ b/transport/httpapi/handler_test.go
@@ -28,9 +28,9 @@
 	return p
 }
 
-// A caller sends a body that must not be accepted (package api has the whole
-// table). It sees a problem document, the refusal is counted once by its
-// reason, and no job reaches the dispatcher.
+// A caller sends a body that must not be accepted; the tests of package api cover all cases. It
+// gets a problem document, the refusal is counted once by its reason, and no job reaches the
+// dispatcher.
 func TestInvalidBodiesAreNotDispatched(t *testing.T) {
 	const good = `{"id":"j","tasks":[{"payload":1}]}`
 	many := strings.Replace(good, `[`, `[`+strings.Repeat(`{"payload":1},`, state.MaxTasksPerJob), 1)
@@ -52,8 +52,8 @@
 	}
 }
 
-// A body states no length and goes on past the limit. The caller is refused
-// without the rest being read into memory.
+// A body without Content-Length that exceeds the limit is refused without reading the rest into
+// memory.
 func TestBodyWithoutLengthIsBounded(t *testing.T) {
 	ts := newTestServer(t)
 	req, err := http.NewRequest("POST", ts.url+jobsPath, io.LimitReader(endless{}, state.MaxBodyBytes+1))
@@ -73,8 +73,8 @@
 	return len(p), nil
 }
 
-// Two callers wait at the same time, and the later one is answered first. Each
-// must see the results of its own job.
+// Guards against mixed-up answers when many callers wait at the same time: each must get the
+// results of its own job.
 func TestCallersGetTheirOwnAnswers(t *testing.T) {
 	ts := newTestServer(t)
 	ts.dispatcher.gate = make(chan struct{})
@@ -102,8 +102,8 @@
 	}
 }
 
-// The layer below hands over another caller's answer. Nobody may see it: the
-// caller learns that its own outcome is unknown.
+// Guards against the disclosure of another caller's answer if the dispatcher returns the wrong one:
+// the caller gets an internal error with an unknown outcome.
 func TestAnswerOfAnotherJobIsWithheld(t *testing.T) {
 	ts := newTestServer(t)
 	other := state.JobKey{Service: "bench-desk", ID: "other"}
@@ -114,9 +114,9 @@
 	ts.is.Equal(p.Detail, errOtherJob.Error())
 }
 
-// A clerk's browser goes away while the job runs. The entry stops waiting, so
-// that it holds nothing for callers who have left, and the job goes on: the
-// clerk submits again, joins it and gets the whole answer.
+// A caller disconnects while its job runs. The entry stops waiting, so that it keeps no state for
+// callers that have disconnected, and the job continues: the caller submits it again, joins it and
+// gets the whole answer.
 func TestDisconnectDoesNotStopTheJob(t *testing.T) {
 	ts := newTestServer(t)
 	ts.dispatcher.gate = make(chan struct{})
@@ -126,7 +126,7 @@
 	var callers conc.WaitGroup
 	callers.Go(func() {
 		_, err := http.DefaultClient.Do(req)
-		ts.is.True(err != nil) // the caller has gone
+		ts.is.True(err != nil) // the caller has disconnected
 	})
 	<-ts.dispatcher.entered
 	disconnect()
@@ -141,10 +141,9 @@
 	ts.is.True(!ts.hasMetric(`# TYPE shallotstep_http_refusals_total counter`)) // nobody was refused
 }
 
-// A caller leaves size, deadline and repeatability to the declaration, and the
-// declaration changes before it submits again. The job gets the defaults of the
-// day, but its digest stays, or the resubmission would be refused as another
-// job.
+// A caller leaves size, deadline and repeatability to the declaration, and the declaration changes
+// before the caller submits the job again. The job gets the current defaults, but its digest must
+// not change, or the resubmission would be refused as another job.
 func TestDeclaredDefaultsStayOutOfTheDigest(t *testing.T) {
 	ts := newTestServer(t)
 	spec := declaration.ServiceSpec{MaxTasks: 2, Deadline: time.Second, Repeatable: true, Task: declaration.TaskDefaults{Cores: 2}}
@@ -163,7 +162,7 @@
 	ts.is.True(!ts.dispatcher.started[key].Repeatable)
 	ts.is.Equal(ts.dispatcher.digest, first)
 
-	// What the caller states goes before the declaration.
+	// What the caller states takes precedence over the declaration.
 	spec.Repeatable = true
 	ts.do("POST", requestsPath, `{"id":"q","repeatable":false,"deadline_ms":5,"task":{"payload":1,"cores":1}}`)
 	ts.is.Equal(ts.dispatcher.started[key].Tasks[0].Cores, 1.0)
@@ -175,8 +174,8 @@
 	ts.is.Equal(p.Outcome, state.Unknown)
 }
 
-// More bodies are on their way than the entry has memory for. The next caller
-// is told at once to come back, and once the others are through it is served.
+// If the bodies in memory have reached the limit, the next caller is refused immediately with a
+// Retry-After. Once the other requests are answered, it is served.
 func TestBufferedBodiesAreBounded(t *testing.T) {
 	ts := newTestServer(t)
 	ts.start(t, Options{MaxBufferedBytes: int64(len(oneTaskBody))})
@@ -195,8 +194,8 @@
 	ts.is.Equal(ts.do("POST", jobsPath, oneTaskBody).StatusCode, 200)
 }
 
-// An entry without tokens listens on an outward address by mistake. A caller
-// from elsewhere must not get in.
+// Guards against access from other hosts if an entry without tokens listens on an external address
+// by mistake.
 func TestWithoutTokensOnlyLoopback(t *testing.T) {
 	is := is.New(t)
 	h := New(Options{Dispatcher: &fakeDispatcher{}, Declarer: &fakeDeclarer{}, Status: fakeStatus{}})
--- a/transport/httpapi/jobs.go
+++ b/transport/httpapi/jobs.go
@@ -9,11 +9,11 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// statusCallerGone stands in the metrics for an answer that nobody waits for.
-// It never goes over the wire.
+// statusClientClosedRequest is the status in the metrics for a caller that disconnected before its
+// answer. It is never sent.
 const statusClientClosedRequest = 499
 
-// anyCount is for answers whose number of tasks the asker doesn't know.
+// anyTaskCount disables the check of the number of results, where the number of tasks is unknown.
 const anyTaskCount = -1
 
 func (s *server) submitJob(x *exchange)     { s.submit(x, api.KindJob) }
@@ -42,9 +42,9 @@
 		return
 	}
 	sub.Job.Operator = operator
-	// The digest is of what the caller stated. With the declared defaults in
-	// it, a change of the declaration would turn a resubmission into another
-	// job under the same id.
+	// The digest covers only what the caller stated. If it included the declared defaults, a
+	// resubmission after a change of the declaration would be refused as another job with the
+	// same id.
 	digest := sub.Job.Digest()
 	if p := s.applyDefaults(x, &sub); p != nil {
 		x.refuse(p)
@@ -54,14 +54,14 @@
 	a := s.Dispatcher.Submit(x.req.Context(), Submission{Job: sub.Job, Digest: digest, Deadline: sub.Deadline, Async: async})
 	tasks := len(sub.Job.Tasks)
 	if async {
-		// Pending is an answer, and results may be there already.
+		// The answer may be pending, or already have results.
 		tasks = anyTaskCount
 	}
 	x.answerJob(a, sub.Job.Key, tasks)
 }
 
-// prefersAsync reports whether the caller asks to be answered once its job is
-// accepted (RFC 7240).
+// prefersAsync reports whether the caller wants the answer as soon as its job is accepted:
+// "Prefer: respond-async" (RFC 7240).
 func prefersAsync(h http.Header) bool {
 	for _, value := range h.Values("Prefer") {
 		for preference := range strings.SplitSeq(value, ",") {
@@ -73,7 +73,8 @@
 	return false
 }
 
-// complete fills in what the submission leaves to the service's declaration.
+// applyDefaults sets the values that the submission doesn't state from the declaration of the
+// service. It returns a problem if the job has more tasks than the service allows.
 func (s *server) applyDefaults(x *exchange, sub *api.Submission) *api.Problem {
 	if s.Spec == nil {
 		return nil
@@ -83,7 +84,8 @@
 		return nil
 	}
 	if len(sub.Job.Tasks) > spec.MaxTasks {
-		// An earlier declaration may have let the same job in.
+		// The same job may have been accepted under an earlier declaration, so its
+		// outcome isn't "not run".
 		return api.NewProblem(state.ReasonTooManyTasks, x.refusalOutcome,
 			"this attempt was not accepted: a job of this service has at most %d tasks", spec.MaxTasks)
 	}
@@ -115,7 +117,7 @@
 		return
 	}
 	a := s.Dispatcher.Cancel(x.detached(), key)
-	// To the caller of a cancellation a cancelled job is the success.
+	// For a cancellation, a cancelled job is a success.
 	if a.Reason == state.ReasonCancelled && a.Key == key && a.Outcome != state.Unknown {
 		x.answer(api.CancelledOf(a))
 		return
@@ -123,9 +125,10 @@
 	x.answerJob(a, key, anyTaskCount)
 }
 
-// answerJob writes the answer to one job. An answer to another job, a partial
-// one, or one that is still pending where the final one is due, is withheld:
-// the caller would take it for its own. The job may well have run.
+// answerJob writes the answer to the job with the given key and number of tasks. An answer to
+// another job, an incomplete answer, or a pending answer where a final one is required, is not
+// sent, because the caller would take it as the result of its job. The caller then gets an
+// internal error, with an outcome that allows for the job having run.
 func (x *exchange) answerJob(a state.Answer, key state.JobKey, tasks int) {
 	if x.req.Context().Err() != nil {
 		x.status = statusClientClosedRequest
@@ -151,13 +154,14 @@
 	x.answer(doc)
 }
 
-// detached returns a context that a caller's disconnect doesn't end.
+// detached returns the context of the request without its cancellation, so that a disconnect of
+// the caller doesn't cancel the operation.
 func (x *exchange) detached() context.Context {
 	return context.WithoutCancel(x.req.Context())
 }
 
-// serviceOperator returns who has declared the service that is asked for, if
-// the asker may act for it.
+// serviceOperator returns the operator that declared the service in the path if the principal may
+// act for it.
 func (s *server) serviceOperator(x *exchange) (string, *api.Problem) {
 	service := x.params.ByName("service")
 	if p := api.CheckService(service); p != nil {
@@ -165,8 +169,9 @@
 	}
 	operator, ok := s.Declarer.Service(service)
 	if !ok {
-		// "Unknown" and not "not run": the news of a new service takes seconds,
-		// and another entry may have accepted the same id already.
+		// On the routes of jobs the outcome is unknown rather than "not run": the
+		// declaration of a new service takes seconds to reach this entry, and another
+		// entry may already have accepted the same id.
 		return "", api.NewProblem(state.ReasonUnknownService, x.refusalOutcome, "this attempt was not accepted: no declaration known here has the service %q", service)
 	}
 	if !x.principal.mayActFor(operator) {
@@ -186,7 +191,7 @@
 	return state.JobKey{Service: x.params.ByName("service"), ID: id}, nil
 }
 
-// idempotencyKey returns the header that stands for an id.
+// idempotencyKey returns the Idempotency-Key header, which may state the id of the job, or "".
 func idempotencyKey(x *exchange) (string, *api.Problem) {
 	values := x.req.Header.Values("Idempotency-Key")
 	switch len(values) {
--- a/transport/httpapi/metrics.go
+++ b/transport/httpapi/metrics.go
@@ -9,14 +9,14 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// metrics counts exchanges. Routes and reasons are fixed sets, so that no
-// caller can make the number of series grow.
+// metrics counts exchanges. Its labels are routes and reasons from fixed sets, so callers can't
+// increase the number of series.
 type metrics struct {
 	requests    *prometheus.CounterVec
 	refusals    *prometheus.CounterVec
 	disconnects *prometheus.CounterVec
 	duration    *prometheus.HistogramVec
-	// told is told of each refusal; it may be nil.
+	// onRefusal is called for each refusal. It may be nil.
 	onRefusal func(state.Reason)
 }
 
@@ -45,8 +45,8 @@
 	return m
 }
 
-// The histogram reaches from 1 ms to 32 s, which holds the shortest status
-// question and the longest ordinary job.
+// The buckets of the histogram reach from 1 ms to 32 s, from the shortest status request to the
+// longest ordinary job. bucketStart is in seconds.
 const (
 	bucketStart  = 0.001
 	bucketFactor = 2
--- a/transport/httpapi/options.go
+++ b/transport/httpapi/options.go
@@ -1,6 +1,6 @@
-// Package httpapi serves an entry's HTTP interface: submissions, declarations,
-// the status, metrics and health. It decodes strictly, asks the layers below,
-// and writes each answer whole or not at all.
+// Package httpapi serves an entry's HTTP API: submissions, declarations, drains, the status,
+// metrics and health checks. It decodes strictly, delegates to the interfaces in Options, and never
+// sends an answer that failed a check.
 package httpapi
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/shallotstep/shallotstep/state/declaration"
 )
 
-// The documents that the interfaces below exchange.
+// The documents in the interfaces below.
 type (
 	Declaration     = api.Declaration
 	HistoryEntry    = api.HistoryEntry
@@ -22,78 +22,79 @@
 	StatusDocument  = api.Status
 )
 
-// Submission is what a caller hands in.
+// Submission is a job that a caller has submitted.
 type Submission struct {
 	Job    state.Job
 	Digest state.Digest
-	// Deadline is how long the caller waits; zero means not stated.
+	// Deadline is how long the caller waits. Zero means that neither the caller nor the
+	// declaration states it.
 	Deadline time.Duration
-	// Async says that the caller wants to hear of the acceptance only.
+	// Async means that the caller only waits until the job is accepted.
 	Async bool
 }
 
-// Dispatcher carries submissions. Its methods return the final answer.
+// Dispatcher runs jobs.
 type Dispatcher interface {
-	// Submit has a job run and waits for its answer, or only until it is
-	// accepted and then answers Pending. The end of ctx says that the caller has gone: Submit
-	// then gives up waiting and must not stop the job, because the caller may
+	// Submit submits a job and waits for its answer. If s.Async is set it waits only until
+	// the job is accepted, and the answer may be Pending. When ctx ends, the caller has
+	// disconnected: Submit stops waiting but must not stop the job, because the caller may
 	// submit it again and join it.
 	Submit(ctx context.Context, s Submission) state.Answer
-	// Query returns the state of a job and starts nothing.
+	// Query returns the state of a job. It never starts a job.
 	Query(ctx context.Context, key state.JobKey) state.Answer
-	// Cancel stops a job. The answer is the job's own: cancelled, or what it
-	// came to before.
+	// Cancel cancels a job. The answer is the outcome of the job: cancelled, or the outcome
+	// that it already had.
 	Cancel(ctx context.Context, key state.JobKey) state.Answer
 }
 
-// Declarer carries declarations.
+// Declarer applies and returns declarations.
 type Declarer interface {
-	// Apply has raw replace the operator's declaration if base is still the
-	// version in force.
+	// Apply replaces the operator's declaration by raw if base is still the version in force.
 	Apply(ctx context.Context, operator string, base state.Version, raw []byte) state.ApplyResult
 	Get(operator string) (Declaration, bool)
-	// History returns the applies that are still known, newest last.
+	// History returns the accepted declarations that are still known, newest last.
 	History(operator string) []HistoryEntry
 	Operators() []OperatorVersion
-	// Service returns the operator that has declared a service.
+	// Service returns the operator that declared a service.
 	Service(name string) (operator string, ok bool)
 }
 
-// Drainer carries drains of failure domains.
+// Drainer drains failure domains.
 type Drainer interface {
-	// Drains lists the failure domains that are known or drained.
+	// Drains returns the failure domains that are known or drained.
 	Drains() []api.Drain
 	// SetDrain drains a failure domain or ends its drain.
 	SetDrain(ctx context.Context, domain string, drained bool) state.ApplyResult
-	// DrainHistory returns what was asked for a failure domain, newest last.
+	// DrainHistory returns the drain requests for a failure domain, newest last.
 	DrainHistory(domain string) []api.DrainEntry
 }
 
-// Status tells what the node knows of the system.
+// Status returns the state of the system as the node knows it.
 type Status interface {
 	Status() StatusDocument
 }
 
-// Options are what the handler works with.
+// Options configures the handler.
 type Options struct {
 	Dispatcher Dispatcher
 	Declarer   Declarer
 	Drainer    Drainer
 	Status     Status
-	// Spec returns a service as declared, for what submissions leave out. Nil
-	// means that nothing is filled in.
+	// Spec returns the declaration of a service, which has the defaults for submissions. Nil
+	// means that there are no defaults.
 	Spec func(service string) (declaration.ServiceSpec, bool)
-	// Tokens are the bearer tokens. With none, everybody on the loopback
-	// interface may do everything, and nobody else anything.
+	// Tokens are the accepted bearer tokens. If there are none, requests over the loopback
+	// interface have RoleAdmin and all others are refused.
 	Tokens []Token
-	// Ready says whether the balancer may send work here. Nil means always.
+	// Ready reports whether the load balancer may send requests to this entry. Nil means
+	// always.
 	Ready func() bool
-	// Registry takes the handler's metrics and is served at /metrics. Nil
-	// means a registry of its own.
+	// Registry registers the handler's metrics and is served at /metrics. Nil means a new
+	// registry.
 	Registry *prometheus.Registry
-	// Refused is told of each refusal; nil for nobody.
+	// OnRefusal is called for each refusal. It may be nil.
 	OnRefusal func(state.Reason)
-	// MaxHeldBytes bounds the bodies of all submissions being answered. Zero
-	// means DefaultMaxHeldBytes.
+	// MaxBufferedBytes bounds the total size of the request bodies in memory. A body counts
+	// until its request is answered. Zero means DefaultMaxBufferedBytes.
 	MaxBufferedBytes int64
 }
--- a/transport/httpapi/server.go
+++ b/transport/httpapi/server.go
@@ -13,10 +13,9 @@
 	maxHeaderBytes = 16 << 10
 )
 
-// NewServer returns a server with limits for a handler of New. config may be
-// nil for plain HTTP. The server has no timeout for whole exchanges, because
-// an answer may rightly take as long as the caller's deadline: the handler
-// bounds the reading of the body and the writing of the answer.
+// NewServer returns an HTTP server with limits for a handler of New. config is nil for HTTP without
+// TLS. The server has no read and write timeouts, because an answer may take as long as the
+// caller's deadline: the handler bounds the time to read the body and to write the answer.
 func NewServer(handler http.Handler, config *tls.Config) *http.Server {
 	return &http.Server{
 		Handler:           handler,
--- a/transport/httpapi/status.go
+++ b/transport/httpapi/status.go
@@ -7,7 +7,7 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// ok is the body of a passed health check.
+// healthyBody is the body of a passed health check.
 const healthyBody = "ok\n"
 
 const contentTypeText = "text/plain; charset=utf-8"
@@ -20,7 +20,7 @@
 	x.answer(doc)
 }
 
-// orEmpty makes a list that stands as [] in JSON and never as null.
+// nonNil returns list, or an empty list instead of nil, so that JSON has [] and not null.
 func nonNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
@@ -28,12 +28,12 @@
 	return list
 }
 
-// healthz says that the process runs.
+// healthz reports that the process is running.
 func (s *server) healthz(x *exchange) {
 	x.write(http.StatusOK, contentTypeText, []byte(healthyBody))
 }
 
-// readyz says whether the balancer may send work here.
+// readyz reports whether the load balancer may send requests to this entry.
 func (s *server) readyz(x *exchange) {
 	if !s.Ready() {
 		x.refuse(api.NewProblem(state.ReasonNotReady, state.NotRun, "this entry takes no new work"))
--- a/transport/httpapi/truncated_body_test.go
+++ b/transport/httpapi/truncated_body_test.go
@@ -11,9 +11,9 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// A caller submits a job again, and its body is cut off on the way. Its job may
-// have run by the first submission. The entry hasn't seen what it is asked for,
-// so it must not say "not run"; of a whole body that no entry takes it may.
+// Guards against the outcome "not run" for a resubmission whose body is truncated: the job may
+// have run after the first submission, and the entry can't tell which job it is. The outcome must
+// be unknown. Only for a complete body that every entry refuses is it "not run".
 func TestTruncatedBodyHasUnknownOutcome(t *testing.T) {
 	ts := newTestServer(t)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(ts.url, "http://"))
