--- a/transport/cli/check.go
+++ b/transport/cli/check.go
@@ -13,7 +13,8 @@
 	"github.com/shallotstep/shallotstep/transport/loadgen"
 )
 
-// declaration reads a declaration's file and finds whose it is.
+// declaration reads and parses a declaration file. It returns the content and the operator, or an
+// exit code other than ExitDone.
 func (v *invocation) declaration(name string) (raw []byte, operator string, code int) {
 	raw, code = v.readFile(name)
 	if code != ExitDone {
@@ -26,7 +27,7 @@
 	return raw, f.Operator, ExitDone
 }
 
-// checked is the finding on one file.
+// checkResult is the result of checking one file. Error is empty if the file is valid.
 type checkResult struct {
 	File  string `json:"file"`
 	Kind  string `json:"kind"`
@@ -55,7 +56,7 @@
 	return code
 }
 
-// String returns the finding for a person.
+// String returns the result as one line of text.
 func (c checkResult) String() string {
 	if c.Error == "" {
 		return c.File + ": ok, a " + c.Kind
@@ -63,8 +64,8 @@
 	return c.Error
 }
 
-// checkFile tells the kinds of files apart by a field that only one of them
-// has: settings have a role, job files a kind, plans a plan.
+// checkFile determines the kind of a file by a field that only this kind has, and parses it: a job
+// file has the field kind, settings have role and a plan has plan. Any other file is a declaration.
 func checkFile(name string, raw []byte) checkResult {
 	fields := topLevelFields(raw)
 	switch {
@@ -93,8 +94,8 @@
 	return c
 }
 
-// fieldsOf returns the fields of a file, or none if it can't be read: the
-// parser of its kind then says what is wrong.
+// topLevelFields returns the top-level fields of a file, or nil if it can't be parsed. The parser
+// that checkFile then uses returns the error.
 func topLevelFields(raw []byte) map[string]json.RawMessage {
 	plain, err := hujson.Standardize(bytes.Clone(raw))
 	if err != nil {
--- a/transport/cli/cli.go
+++ b/transport/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the operator's command line. Everything it touches comes in
-// through Env, so that a test drives it like a person would.
+// Package cli implements the operator's command line. Its output goes through Env, so that tests
+// run whole command lines.
 package cli
 
 import (
@@ -19,38 +19,39 @@
 // Exit codes.
 const (
 	ExitDone    = 0
-	ExitRefused = 1 // refused or failed, for certain
+	ExitRefused = 1 // refused or failed; it certainly did not succeed
 	ExitUsage   = 2
-	ExitUnknown = 3 // it may have happened
+	ExitUnknown = 3 // unknown outcome; it may have succeeded
 )
 
-// Defaults of the common flags.
+// Defaults of the flags that all commands have.
 const (
 	defaultAddr    = "127.0.0.1:7400"
 	defaultTimeout = 30 * time.Second
 )
 
-// Env is what a command may touch.
+// Env is the environment of a command.
 type Env struct {
 	Stdout io.Writer
 	Stderr io.Writer
-	// Version is the software's version.
+	// Version is the version of the program.
 	Version string
-	// Sleep waits between tries. Nil means real time.
+	// Sleep waits between attempts and returns an error if ctx ends before. Nil means real
+	// time.
 	Sleep func(ctx context.Context, d time.Duration) error
 }
 
 // command is one subcommand.
 type command struct {
 	name    string
-	args    string // how the arguments read in the usage
+	args    string // the arguments in the usage text
 	summary string
-	// least and most bound the number of arguments; most is negative for any.
+	// minArgs and maxArgs bound the number of arguments. A negative maxArgs means no limit.
 	minArgs int
 	maxArgs int
-	// addrFlag names the flag of the entry's address; empty means addr.
+	// addrFlag is the name of the flag for the entry's address. Empty means addr.
 	addrFlag string
-	// flags adds the command's own flags to the common ones.
+	// flags, if set, registers the flags that only this command has.
 	flags func(*invocation)
 	run   func(context.Context, *invocation) int
 }
@@ -61,19 +62,19 @@
 		{name: "show", args: "OPERATOR", summary: "print the declaration in force", minArgs: 1, maxArgs: 1, run: runShow},
 		{name: "history", args: "OPERATOR", summary: "list accepted declarations", minArgs: 1, maxArgs: 1, run: runHistory},
 		{name: "diff", args: "FILE", summary: "compare a file with the declaration in force", minArgs: 1, maxArgs: 1, run: runDiff},
-		{name: "drain", args: "[DOMAIN]", summary: "have nothing newly started in a failure domain, or list the failure domains", maxArgs: 1, flags: drainFlags, run: runDrain},
-		{name: "undrain", args: "DOMAIN", summary: "put a drained failure domain to use again", minArgs: 1, maxArgs: 1, run: runUndrain},
-		{name: "status", summary: "print what the entry knows of the system", run: runStatus},
+		{name: "drain", args: "[DOMAIN]", summary: "start no new tasks in a failure domain, or list the failure domains", maxArgs: 1, flags: drainFlags, run: runDrain},
+		{name: "undrain", args: "DOMAIN", summary: "end the drain of a failure domain", minArgs: 1, maxArgs: 1, run: runUndrain},
+		{name: "status", summary: "print the state of the system as the entry knows it", run: runStatus},
 		{name: "submit", args: "FILE", summary: "submit a job file, and wait for the answer or only until it is accepted", minArgs: 1, maxArgs: 1, flags: submitFlags, run: runSubmit},
 		{name: "state", args: "SERVICE ID", summary: "print a job's state, or its results", minArgs: 2, maxArgs: 2, run: runState},
-		{name: "cancel", args: "SERVICE ID", summary: "stop a job", minArgs: 2, maxArgs: 2, run: runCancel},
+		{name: "cancel", args: "SERVICE ID", summary: "cancel a job", minArgs: 2, maxArgs: 2, run: runCancel},
 		{name: "check", args: "FILE...", summary: "check files without sending them", minArgs: 1, maxArgs: -1, run: runCheck},
-		{name: "measure", args: "[FILE...]", summary: "carry out a plan of load on a running system, measure and check", maxArgs: -1, addrFlag: "target", flags: measureFlags, run: runMeasure},
-		{name: "version", summary: "print the software's version", run: runVersion},
+		{name: "measure", args: "[FILE...]", summary: "run a load plan against a running system, measure and check the results", maxArgs: -1, addrFlag: "target", flags: measureFlags, run: runMeasure},
+		{name: "version", summary: "print the version of the program", run: runVersion},
 	}
 }
 
-// invocation is one run of a command.
+// invocation is one run of a command, with its flags and arguments.
 type invocation struct {
 	Env
 	flags *flag.FlagSet
@@ -93,8 +94,7 @@
 	measure     measureOptions
 }
 
-// Run carries out one command line, without the program's name, and returns
-// the exit code.
+// Run runs one command line and returns the exit code. args doesn't include the program's name.
 func Run(ctx context.Context, args []string, env Env) int {
 	if len(args) == 0 || slices.Contains([]string{"help", "-h", "-help", "--help"}, args[0]) {
 		usage(env.Stderr)
@@ -105,7 +105,7 @@
 			return c.invoke(ctx, args[1:], env)
 		}
 	}
-	fmt.Fprintf(env.Stderr, "shallotstep: no command %q\n", args[0])
+	fmt.Fprintf(env.Stderr, "shallotstep: unknown command %q\n", args[0])
 	usage(env.Stderr)
 	return ExitUsage
 }
@@ -140,7 +140,7 @@
 		return ExitUsage
 	}
 	if v.output != "text" && v.output != "json" {
-		return v.usageError("-output is text or json, not %q", v.output)
+		return v.usageError("-output must be text or json, not %q", v.output)
 	}
 	ctx, cancel := context.WithTimeout(ctx, v.timeout)
 	defer cancel()
@@ -152,10 +152,11 @@
 	v.flags.StringVar(&v.tokenFile, "token-file", "", "`file` that holds the bearer token")
 	v.flags.StringVar(&v.caFile, "ca", "", "PEM `file` with the certificate authorities to trust")
 	v.flags.StringVar(&v.output, "output", "text", "`format` of the output, text or json")
-	v.flags.DurationVar(&v.timeout, "timeout", defaultTimeout, "how long to try, in all")
+	v.flags.DurationVar(&v.timeout, "timeout", defaultTimeout, "maximum time for the whole command")
 }
 
-// parse takes flags before, between and after the arguments.
+// parse parses flags before, between and after the arguments. It returns false on an error, which
+// the flag package has already printed.
 func (v *invocation) parse(args []string) bool {
 	for {
 		if err := v.flags.Parse(args); err != nil {
@@ -174,8 +175,8 @@
 	}
 }
 
-// ended says whether "--" closed the flags, so that an argument may begin with
-// a dash.
+// endsFlags reports whether the argument before rest is "--", which ends the flags, so that all
+// further arguments may begin with a dash.
 func endsFlags(args, rest []string) bool {
 	i := len(args) - len(rest) - 1
 	return i >= 0 && args[i] == "--"
@@ -186,7 +187,7 @@
 	return ExitUsage
 }
 
-// readFile returns a file's content, or the exit code when it can't be read.
+// readFile returns the content of a file, or the exit code if it can't be read.
 func (v *invocation) readFile(name string) ([]byte, int) {
 	b, err := os.ReadFile(name)
 	if err != nil {
@@ -195,7 +196,7 @@
 	return b, ExitDone
 }
 
-// exitOf returns the exit code of an outcome.
+// exitOf returns the exit code for an outcome.
 func exitOf(o state.Outcome) int {
 	switch o {
 	case state.Complete:
--- a/transport/cli/cli_test.go
+++ b/transport/cli/cli_test.go
@@ -20,8 +20,8 @@
 	"github.com/matryer/is"
 )
 
-// fakeEntry is a fake fakeEntry: it answers "METHOD path" in turn, the last one for
-// good, and keeps what it was asked.
+// fakeEntry is a fake entry. It returns the answers for "METHOD path" in their order, repeats the
+// last one, and records the requests.
 type fakeEntry struct {
 	mu       sync.Mutex
 	answers  map[string][]cannedReply // guarded by mu
@@ -29,7 +29,7 @@
 	bodies   []string                 // guarded by mu
 }
 
-// cannedReply is one reply. A status of zero breaks the connection off.
+// cannedReply is one response of a fakeEntry. With the status zero, the connection is aborted.
 type cannedReply struct {
 	status int
 	etag   string
@@ -62,7 +62,7 @@
 	io.WriteString(w, a.body)
 }
 
-// testCLI runs command lines against an entry.
+// testCLI runs command lines against a fakeEntry and captures their output.
 type testCLI struct {
 	is     *is.I
 	dir    string
@@ -90,7 +90,7 @@
 	return path
 }
 
-const maxSleeps = 5 // waits until the desk's timeout
+const maxSleeps = 5 // number of calls of Env.Sleep before it reports a timeout
 
 func (cli *testCLI) run(args ...string) int {
 	cli.out.Reset()
@@ -133,15 +133,15 @@
 	cli := newTestCLI(t, e)
 	cli.is.Equal(cli.run("submit", cli.file("j.json", jobFile)), ExitDone)
 	cli.is.Equal(cli.out.String(), "j1: complete\n0\t\"mended\"\n")
-	// The payload goes out as it stands in the file.
+	// The payload is sent unchanged.
 	cli.is.Equal(e.bodies[0], `{"id":"j1","tasks":[{"payload":{"a": 1}}]}`)
 
 	cli.is.Equal(cli.run("submit", "-output", "json", cli.file("j.json", jobFile)), ExitDone)
 	cli.is.Equal(cli.out.String(), complete+"\n")
 }
 
-// Each outcome has its exit code, and what is certain stays apart from what
-// isn't: a script that resubmits under a new id on 1 must never do so on 3.
+// Guards against exit codes that don't tell a certain failure from an unknown outcome: a script may
+// resubmit under a new id after exit code 1, but never after 3, because the job may have run.
 func TestSubmitExitCodes(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -155,7 +155,8 @@
 		{"lost for good", []cannedReply{{}}, ExitUnknown, defaultMaxAttempts},
 		{"lost once", []cannedReply{{}, {200, "", complete}}, ExitDone, 2},
 		{"busy once", []cannedReply{{429, "", problem("not_run", "quota", `,"retry_after_ms":700`)}, {200, "", complete}}, ExitDone, 2},
-		// The lost try may still be granted after the second one was refused.
+		// The attempt whose reply was lost may still be accepted after the second one was
+		// refused.
 		{"lost, then not run", []cannedReply{{}, {429, "", problem("not_run", "quota", "")}}, ExitUnknown, 2},
 		{"another job's answer", []cannedReply{{200, "", `{"id":"j2","outcome":"complete","results":[1]}`}}, ExitUnknown, defaultMaxAttempts},
 		{"short answer", []cannedReply{{200, "", `{"id":"j1","outcome":"complete","results":[]}`}}, ExitUnknown, defaultMaxAttempts},
@@ -170,7 +171,7 @@
 			cli.is.Equal(cli.run("submit", cli.file("j.json", jobFile)), c.code)
 			cli.is.Equal(len(e.requests()), c.asked)
 			if c.name == "busy once" {
-				cli.is.Equal(cli.sleeps, []time.Duration{700 * time.Millisecond}) // as told
+				cli.is.Equal(cli.sleeps, []time.Duration{700 * time.Millisecond}) // the retry_after_ms of the refusal
 			}
 		})
 	}
@@ -200,9 +201,9 @@
 	}
 }
 
-// The reply to an apply is lost after the record went into the log. The
-// command reads until it finds who replaced the base: it never applies twice,
-// and never claims either way without having read it.
+// The reply to an apply is lost after the record was appended to the log. The command polls the
+// history until it shows which declaration replaced the base. It never applies twice, and never
+// reports success or failure without that.
 func TestApplyConfirmsAfterALostReply(t *testing.T) {
 	history := func(next string) []cannedReply {
 		return []cannedReply{{200, "", `{"entries":[{"version":17,"base":3}` + next + `]}`}}
@@ -265,8 +266,7 @@
 	cli.is.Equal(cli.out.String(), "a/b: too late, it is complete\n")
 }
 
-// A caller that doesn't wait is answered once its job is accepted, and asks for
-// the results later.
+// With -wait=false the command returns once the job is accepted. The results are queried later.
 func TestSubmitWithoutWaiting(t *testing.T) {
 	const get = "GET /v1/services/bench-desk/jobs/j1"
 	e := &fakeEntry{answers: map[string][]cannedReply{
@@ -276,7 +276,7 @@
 	cli := newTestCLI(t, e)
 	cli.is.Equal(cli.run("submit", "-wait=false", cli.file("j.json", jobFile)), ExitDone)
 	cli.is.Equal(cli.out.String(), "j1: pending\n")
-	cli.is.Equal(len(e.requests()), 2) // the lost reply was asked for again under the same id
+	cli.is.Equal(len(e.requests()), 2) // after the lost reply it was sent again with the same id
 	cli.is.Equal(cli.run("state", "bench-desk", "j1"), ExitDone)
 	cli.is.Equal(cli.out.String(), "j1: pending\n")
 	cli.is.Equal(cli.run("state", "bench-desk", "j1"), ExitDone)
@@ -303,7 +303,7 @@
 	cli.is.Equal(Run(context.Background(), nil, Env{Stdout: &cli.out, Stderr: &cli.err}), ExitUsage)
 }
 
-// The files that the users start from must pass, and a fault must be named.
+// The example files must pass the check, and an error in a file must be named.
 func TestCheck(t *testing.T) {
 	cli := newTestCLI(t, &fakeEntry{})
 	examples, err := filepath.Glob("../../examples/*/*.json")
@@ -327,11 +327,11 @@
 	ca := cli.file("ca.pem", string(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: srv.Certificate().Raw})))
 	cli.is.Equal(cli.run("status", "-ca", ca, "-token-file", cli.file("token", "t\n")), ExitDone)
 	cli.url = "https://" + cli.url
-	cli.is.Equal(cli.run("status"), ExitRefused) // an authority nobody knows
+	cli.is.Equal(cli.run("status"), ExitRefused) // signed by an unknown authority
 }
 
-// Guards against a drain of the wrong domain, and against an operator who takes an open one
-// for certain.
+// Guards against a drain of the wrong failure domain, and against output that reports a drain with
+// an unknown outcome as certain.
 func TestDrain(t *testing.T) {
 	const put, del = "PUT /v1/drains/iksan", "DELETE /v1/drains/iksan"
 	e := &fakeEntry{answers: map[string][]cannedReply{
--- a/transport/cli/connect.go
+++ b/transport/cli/connect.go
@@ -9,7 +9,7 @@
 	"github.com/shallotstep/shallotstep/transport/httpclient"
 )
 
-// connect returns the client that the common flags describe, or an exit code.
+// connect returns a client configured by the common flags, or an exit code other than ExitDone.
 func (v *invocation) connect() (*httpclient.Client, int) {
 	o := httpclient.Options{Addr: v.addr, Sleep: v.Sleep}
 	if v.tokenFile != "" {
@@ -26,7 +26,7 @@
 		}
 		o.CA = x509.NewCertPool()
 		if !o.CA.AppendCertsFromPEM(pem) {
-			return nil, v.usageError("%s holds no certificate", v.caFile)
+			return nil, v.usageError("%s contains no valid PEM certificate", v.caFile)
 		}
 	}
 	c, err := httpclient.New(o)
@@ -36,7 +36,7 @@
 	return c, ExitDone
 }
 
-// failed reports a call that brought no answer and returns the exit code.
+// reportFailure prints the reason why a call returned no answer and returns the exit code.
 func (v *invocation) reportFailure(f *httpclient.Failure) int {
 	fmt.Fprintf(v.Stderr, "shallotstep: %s\n", f)
 	if v.output == "json" {
@@ -48,14 +48,15 @@
 	return exitOf(f.Outcome)
 }
 
-// failureProblem gives a failure of the client the form of a refusal, so that
-// scripts read one form only.
+// failureProblem converts a failure of the client to a problem document, so that scripts only need
+// to parse one form.
 func failureProblem(f *httpclient.Failure) *api.Problem {
 	if f.Problem == nil {
 		return &api.Problem{Type: "about:blank", Title: "The entry gave no answer", Detail: f.String(), Outcome: f.Outcome}
 	}
 	p := *f.Problem
-	// The client may know less than the latest reply says.
+	// The outcome may be unknown because of an earlier attempt, although the last reply
+	// states one.
 	p.Outcome = f.Outcome
 	return &p
 }
@@ -68,7 +69,8 @@
 	v.Stdout.Write(body)
 }
 
-// print writes a document as JSON, or calls text.
+// print writes doc as JSON if the flag -output says so, and calls text otherwise. It returns
+// ExitDone.
 func (v *invocation) print(doc any, text func()) int {
 	if v.output == "json" {
 		v.printJSON(doc)
--- a/transport/cli/declare.go
+++ b/transport/cli/declare.go
@@ -8,11 +8,11 @@
 	"github.com/shallotstep/shallotstep/transport/httpclient"
 )
 
-// currentBase asks for the version in force before applying.
+// currentBase is the value of -base that stands for the version in force.
 const currentBase = -1
 
 func applyFlags(v *invocation) {
-	v.flags.Int64Var(&v.base, "base", currentBase, "the `version` that the file replaces, 0 for none; the one in force if not given")
+	v.flags.Int64Var(&v.base, "base", currentBase, "the `version` that the file replaces, 0 for none; -1 for the version in force")
 }
 
 func runApply(ctx context.Context, v *invocation) int {
@@ -29,7 +29,7 @@
 	}
 	base, f := v.baseVersion(ctx, c, operator)
 	if f != nil {
-		// Nothing has been sent yet but a question.
+		// Only the version in force has been requested yet.
 		f.Outcome = state.NotRun
 		return v.reportFailure(f)
 	}
@@ -64,8 +64,8 @@
 	return v.print(doc, func() { v.Stdout.Write(d.Raw) })
 }
 
-// shown is a declaration as scripts read it. File is text, because it may hold
-// comments.
+// shownDoc is the JSON output of the command show. File is a string and no JSON object, because the
+// declaration may contain comments.
 type shownDoc struct {
 	Operator string        `json:"operator"`
 	Version  state.Version `json:"version"`
--- a/transport/cli/diff.go
+++ b/transport/cli/diff.go
@@ -33,7 +33,7 @@
 	return ExitRefused
 }
 
-// difference is a comparison as scripts read it.
+// diffDoc is the JSON output of the command diff.
 type diffDoc struct {
 	Operator string        `json:"operator"`
 	Version  state.Version `json:"version"`
@@ -48,9 +48,9 @@
 	return strings.Split(strings.TrimSuffix(string(b), "\n"), "\n")
 }
 
-// diffLines returns the lines that went, with "- " before them, and those that
-// came, with "+ ", in the order of the files. It finds a longest common
-// subsequence of what lies between the common head and tail.
+// diffLines returns the removed lines with the prefix "- " and the added lines with the prefix "+ ",
+// in the order of the files. It computes a longest common subsequence of the lines between the
+// common prefix and suffix.
 func diffLines(before, after []string) []string {
 	for len(before) > 0 && len(after) > 0 && before[0] == after[0] {
 		before, after = before[1:], after[1:]
@@ -77,7 +77,8 @@
 	return out
 }
 
-// commonLengths[i][j] is how many lines before[i:] and after[j:] have in common.
+// commonLengths returns a table whose element [i][j] is the length of the longest common
+// subsequence of before[i:] and after[j:].
 func commonLengths(before, after []string) [][]int32 {
 	table := make([][]int32, len(before)+1)
 	for i := range table {
--- a/transport/cli/drain.go
+++ b/transport/cli/drain.go
@@ -6,7 +6,7 @@
 )
 
 func drainFlags(v *invocation) {
-	v.flags.BoolVar(&v.showHistory, "history", false, "list the drains of the failure domain instead")
+	v.flags.BoolVar(&v.showHistory, "history", false, "list the drain requests for the failure domain instead of draining it")
 }
 
 func runDrain(ctx context.Context, v *invocation) int {
--- a/transport/cli/measure.go
+++ b/transport/cli/measure.go
@@ -22,26 +22,26 @@
 	loadPlot string
 }
 
-// measureTimeout holds the longest run and its patience.
+// measureTimeout covers the longest run and the longest wait for its last answers.
 const measureTimeout = loadgen.MaxLength + loadgen.MaxPatience + loadgen.DefaultPatience
 
 func measureFlags(v *invocation) {
 	o := &v.measure
 	f := v.flags
 	f.StringVar(&o.plan, "plan", "", "the plan's `file`")
-	f.Uint64Var(&o.seed, "seed", 0, "decides arrivals, sizes and work in place of the plan's seed; 0 leaves that")
-	f.StringVar(&o.backends, "backends", "", "the stand-in backend servers' `URLs` in place of the plan's, separated by commas")
+	f.Uint64Var(&o.seed, "seed", 0, "the `seed` of arrivals, sizes and work; 0 means the plan's seed")
+	f.StringVar(&o.backends, "backends", "", "comma-separated `URLs` of the stand-in backend servers; default: those in the plan")
 	f.StringVar(&o.report, "report", "", "write the report as JSON to this `file`")
 	f.StringVar(&o.plot, "plot", "", "write the plots of the run to this `file`, .svg or .png")
 	f.BoolVar(&o.compare, "compare", false, "compare two report files instead of measuring")
-	f.StringVar(&o.loadPlot, "load-plot", "", "draw response against load from report files into this `file`, instead of measuring")
-	// The common limit on how long to try is shorter than a run.
+	f.StringVar(&o.loadPlot, "load-plot", "", "plot response time against load from report files into this `file`, instead of measuring")
+	// The default timeout of the other commands is shorter than a run.
 	f.Lookup("timeout").DefValue = measureTimeout.String()
 	v.timeout = measureTimeout
-	f.Lookup("target").Usage = "the entries' `addresses`, separated by commas; each host:port or URL"
+	f.Lookup("target").Usage = "comma-separated `addresses` of the entries, each host:port or URL"
 }
 
-// runMeasure exits with ExitRefused when a check fails.
+// runMeasure runs a plan and returns ExitRefused if one of its checks fails.
 func runMeasure(ctx context.Context, v *invocation) int {
 	o := &v.measure
 	switch {
@@ -50,7 +50,7 @@
 	case o.loadPlot != "":
 		return v.plotLoads()
 	case len(v.args) > 0:
-		return v.usageError("measure takes files with -compare and -load-plot only")
+		return v.usageError("measure takes file arguments only with -compare or -load-plot")
 	case o.plan == "":
 		return v.usageError("measure needs -plan")
 	}
@@ -74,7 +74,7 @@
 	return code
 }
 
-// readPlan reads the plan and puts in what the flags say.
+// readPlan reads the plan and overrides its values by those of the flags.
 func (v *invocation) readPlan() (*loadgen.Plan, int) {
 	o := &v.measure
 	src, code := v.readFile(o.plan)
@@ -95,8 +95,8 @@
 	return plan, ExitDone
 }
 
-// target returns the clients that the plan needs. A load without a token file
-// of its own uses the common one.
+// target returns the clients that the plan needs. A load without a token file uses that of the flag
+// -token-file.
 func (v *invocation) target(plan *loadgen.Plan) (loadgen.Target, int) {
 	var t loadgen.Target
 	addresses := strings.Split(v.addr, ",")
@@ -142,7 +142,7 @@
 	return ok
 }
 
-// wrote reports a file that couldn't be written.
+// reportWriteError prints err if it isn't nil, and returns the exit code.
 func (v *invocation) reportWriteError(err error) int {
 	if err != nil {
 		fmt.Fprintf(v.Stderr, "shallotstep: %v\n", err)
@@ -151,7 +151,7 @@
 	return ExitDone
 }
 
-// readReports reads the reports that the arguments name.
+// readReports reads the report files in the arguments.
 func (v *invocation) readReports() ([]*loadgen.Measurement, int) {
 	var out []*loadgen.Measurement
 	for _, name := range v.args {
--- a/transport/cli/measure_test.go
+++ b/transport/cli/measure_test.go
@@ -18,8 +18,8 @@
 	"github.com/shallotstep/shallotstep/transport/loadgen"
 )
 
-// echoEntry answers each job with what its tasks ask to have echoed, after bend
-// has had its way with the results.
+// echoEntry starts a fake entry that answers each job with the echo fields of its tasks, after alter
+// has changed the results. It returns the URL.
 func echoEntry(t *testing.T, alter func(results []json.RawMessage) []json.RawMessage) string {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -28,7 +28,7 @@
 			body, _ := io.ReadAll(req.Body)
 			job, _, p := api.DecodeJob("bench-desk", "", body)
 			if p != nil {
-				t.Errorf("no job: %s", p)
+				t.Errorf("the body is not a valid job: %s", p)
 				return
 			}
 			var results []json.RawMessage
@@ -54,8 +54,8 @@
 	return srv.URL
 }
 
-// An entry that is right, and entries that cut, double and swap results on the
-// wire. Scripts learn of it by the exit code alone.
+// One entry returns correct results, others drop, duplicate or swap them. The exit code must report
+// the failed checks, because scripts read nothing else.
 func TestMeasureExitCodeReportsFailedChecks(t *testing.T) {
 	is := is.New(t)
 	report := filepath.Join(t.TempDir(), "report.json")
@@ -83,11 +83,11 @@
 		}
 		is.Equal(code, ExitRefused)
 		is.True(strings.Contains(cli.out.String(), fmt.Sprintf("check %-8s FAILED", strings.TrimSpace(name))))
-		is.Equal(cli.run("measure", "-compare", report, report), ExitRefused) // a failed check is not forgotten
+		is.Equal(cli.run("measure", "-compare", report, report), ExitRefused) // the report still has the failed check
 	}
 }
 
-// shortPlan is over in a moment.
+// shortPlan is a valid plan of 200 ms.
 const shortPlan = `{
   "plan": "small", // the name
   "length": "200ms",
@@ -109,7 +109,7 @@
 		plan(`"length": "200ms"`, `"length": "6m", "lenth": "1s"`),
 		plan(`"jobs_per_second": 100`, `"jobs_per_second": 100, "tasks_per_second": 1`),
 		plan(`"jobs_per_second": 100, `, ``),
-		plan(`"service": "bench-desk", `, ``), // the mix names none
+		plan(`"service": "bench-desk", `, ``), // the mix doesn't name a service either
 		plan(`"plan": "small", `, ``),
 		"none.json",
 	} {
@@ -119,13 +119,12 @@
 	for _, args := range [][]string{{}, {"-plan", cli.file("plan.json", shortPlan), "report.json"}, {"-compare", "one.json"}, {"-load-plot", "a.svg"}} {
 		is.Equal(cli.run(append([]string{"measure"}, args...)...), ExitUsage)
 	}
-	is.Equal(cli.run("measure", "-plan", cli.file("plan.json", shortPlan)), ExitRefused) // the entry gives no status
+	is.Equal(cli.run("measure", "-plan", cli.file("plan.json", shortPlan)), ExitRefused) // the entry returns no status
 	_, err := os.Stat("report.json")
 	is.True(os.IsNotExist(err))
 }
 
-// Check finds a fault in a plan as it does in every other file: with its line
-// and key.
+// The command check reports an error in a plan with its line and key, as for every other file.
 func TestCheckNamesTheLineOfAPlanError(t *testing.T) {
 	is := is.New(t)
 	cli := newTestCLI(t, &fakeEntry{})
@@ -137,7 +136,7 @@
 	is.True(strings.Contains(cli.out.String(), bad+":4: loads[0].job_per_second: unknown key"))
 }
 
-// The plots are drawn from files alone: no entry is asked.
+// The plots of -load-plot are drawn from report files alone, without a request to an entry.
 func TestPlotsAreDrawnFromFiles(t *testing.T) {
 	is := is.New(t)
 	cli := newTestCLI(t, &fakeEntry{})
--- a/transport/cli/status.go
+++ b/transport/cli/status.go
@@ -9,7 +9,7 @@
 	"github.com/shallotstep/shallotstep/protocol/api"
 )
 
-// columnGap is the space between columns.
+// columnGap is the number of spaces between columns.
 const columnGap = 2
 
 func runStatus(ctx context.Context, v *invocation) int {
--- a/transport/cli/submit.go
+++ b/transport/cli/submit.go
@@ -8,13 +8,13 @@
 	"github.com/shallotstep/shallotstep/transport/httpclient"
 )
 
-// defaultMaxAttempts is how often a submission is sent before giving up.
+// defaultMaxAttempts is the default for the number of times that a submission is sent.
 const defaultMaxAttempts = 4
 
 func submitFlags(v *invocation) {
-	v.flags.StringVar(&v.service, "service", "", "the `name` of the service, instead of the file's")
+	v.flags.StringVar(&v.service, "service", "", "the `name` of the service; overrides that in the file")
 	v.flags.BoolVar(&v.wait, "wait", true, "wait for the results; with -wait=false only until the job is accepted")
-	v.flags.IntVar(&v.maxAttempts, "tries", defaultMaxAttempts, "how often to send it at most, each time under the same id")
+	v.flags.IntVar(&v.maxAttempts, "tries", defaultMaxAttempts, "maximum number of times to send the job, each time with the same id")
 }
 
 func runSubmit(ctx context.Context, v *invocation) int {
@@ -51,8 +51,7 @@
 	}
 }
 
-// job returns the job that the arguments name and a client to ask for it, or an
-// exit code.
+// job returns the key of the job in the arguments and a client, or an exit code other than ExitDone.
 func (v *invocation) job() (state.JobKey, *httpclient.Client, int) {
 	key := state.JobKey{Service: v.args[0], ID: v.args[1]}
 	if p := api.CheckService(key.Service); p != nil {
