--- a/transport/cli/cli_test.go
+++ b/transport/cli/cli_test.go
@@ -140,8 +140,8 @@
 	cli.is.Equal(cli.out.String(), complete+"\n")
 }
 
-// Guards against exit codes that don't tell a certain failure from an unknown outcome: a script may
-// resubmit under a new id after exit code 1, but never after 3, because the job may have run.
+// Guards against exit codes that don't distinguish a certain failure from an unknown outcome. A script
+// that resubmits under a new id on 1 must never do so on 3 because the job may have run.
 func TestSubmitExitCodes(t *testing.T) {
 	cases := []struct {
 		name  string
--- a/transport/httpapi/metrics.go
+++ b/transport/httpapi/metrics.go
@@ -20,9 +20,9 @@
 	onRefusal func(state.Reason)
 }
 
-func newMetrics(r prometheus.Registerer, told func(state.Reason)) *metrics {
+func newMetrics(r prometheus.Registerer, onRefusal func(state.Reason)) *metrics {
 	m := &metrics{
-		onRefusal: told,
+		onRefusal: onRefusal,
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "shallotstep_http_requests_total",
 			Help: "HTTP requests answered, by route and status code.",
--- a/transport/peer/link.go
+++ b/transport/peer/link.go
@@ -241,7 +241,7 @@
 		f, err := stream.Recv()
 		if err != nil {
 			if w.fired() {
-				return errors.New("no frame, or no acknowledgement of a newer heartbeat, arrived in time")
+				return errors.New("silence")
 			}
 			return err
 		}
