--- a/transport/httpclient/retry.go
+++ b/transport/httpclient/retry.go
@@ -54,6 +54,7 @@
 	raceUnresolved                   // the base was replaced, but the history no longer shows by which declaration
 )
 
+// raceState is a raceResult with the version that replaced the base, if one did.
 type raceState struct {
 	result  raceResult
 	version state.Version
--- a/transport/pause/backoff.go
+++ b/transport/pause/backoff.go
@@ -21,9 +21,9 @@
 // Reset makes the next delay Min again. It is called after a success.
 func (b *Backoff) Reset() { b.delay = 0 }
 
-// Next advances to the next delay and returns what is left of it after an attempt that took
-// that long, or zero. A random jitter of up to a quarter either way keeps callers that failed
-// together from retrying together.
+// Next advances to the next delay and returns what is left of it after a failed attempt of
+// duration took, or zero. A random jitter of up to a quarter either way keeps callers that
+// failed together from retrying together.
 func (b *Backoff) Next(took time.Duration) time.Duration {
 	b.delay = min(max(2*b.delay, b.Min), b.Max)
 	wait := b.delay - took
