--- a/transport/asynclog/asynclog_test.go
+++ b/transport/asynclog/asynclog_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// countingOutput notes what is written and in how many calls.
+// countingOutput records what is written to it and counts the calls.
 type countingOutput struct {
 	mu    sync.Mutex
 	calls int
@@ -25,10 +25,10 @@
 	return o.text.Write(b)
 }
 
-// A decision on each of some hundred tasks is logged within a few milliseconds.
-// Written one by one the lines would cost a call of the system each, more than
-// making them does. All of them come out, in their order, in few calls.
-func TestBurstIsWrittenTogether(t *testing.T) {
+// Guards against a system call for each line of a burst, which costs more than formatting the
+// line: the decisions on a few hundred tasks are logged within a few milliseconds. All lines
+// are written in their order, in few calls.
+func TestBurstIsWrittenInFewCalls(t *testing.T) {
 	is := is.New(t)
 	var out countingOutput
 	w := New(&out)
@@ -45,7 +45,7 @@
 	is.True(out.calls < lines/10)
 }
 
-// blockedOutput takes nothing until it is released.
+// blockedOutput blocks every Write until release is closed.
 type blockedOutput struct{ release chan struct{} }
 
 func (o *blockedOutput) Write(b []byte) (int, error) {
@@ -53,16 +53,16 @@
 	return len(b), nil
 }
 
-// Whoever reads the log stands still. Whoever writes to it must not: lines that
-// don't fit are left out and counted, and the writers go on.
-func TestStoppedReaderHoldsNobodyUp(t *testing.T) {
+// Guards against callers that block because the log's reader has stopped reading: lines that
+// don't fit are dropped and counted, and the callers continue.
+func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	is := is.New(t)
 	out := &blockedOutput{release: make(chan struct{})}
 	w := New(out)
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		for range 3 * queueLines {
+		for range 3 * queueCapacity {
 			if _, err := w.Write([]byte("line\n")); err != nil {
 				t.Error(err)
 			}
@@ -71,34 +71,35 @@
 	select {
 	case <-written:
 	case <-time.After(time.Minute):
-		t.Fatal("a writer was held up")
+		t.Fatal("the calls of Write did not return within a minute")
 	}
 	is.True(w.Dropped() > 0)
 	close(out.release)
 	w.Close()
 }
 
-// The rate bounds the lines of a second, and lets as many through once that has passed.
+// The limiter allows maxLinesPerSecond lines in a second, and as many again once that second
+// has passed.
 func TestRateOfLines(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	r := newRate(now)
-	for range linesPerSecond {
-		is.True(r.take(now))
+	r := newRateLimiter(now)
+	for range maxLinesPerSecond {
+		is.True(r.allow(now))
 	}
-	is.True(!r.take(now.Add(time.Second - 1)))
-	is.True(r.take(now.Add(time.Second)))
+	is.True(!r.allow(now.Add(time.Second - 1)))
+	is.True(r.allow(now.Add(time.Second)))
 }
 
-// Guards against twice the bound of lines, and of processor time, in a second that begins in
-// the middle of a counted one.
+// Guards against counting in fixed seconds, which allows twice the limit of lines, and of
+// processor time, in a second that begins in the middle of a counted one.
 func TestLinesOfAnySecondAreBounded(t *testing.T) {
 	is := is.New(t)
 	begin := time.Now()
-	r := newRate(begin)
+	r := newRateLimiter(begin)
 	var taken []time.Duration
 	for at := 900 * time.Millisecond; at < 4*time.Second; at += 200 * time.Microsecond {
-		if r.take(begin.Add(at)) {
+		if r.allow(begin.Add(at)) {
 			taken = append(taken, at)
 		}
 	}
@@ -107,6 +108,6 @@
 		for at-taken[from] >= time.Second {
 			from++
 		}
-		is.True(i-from+1 <= linesPerSecond)
+		is.True(i-from+1 <= maxLinesPerSecond)
 	}
 }
--- a/transport/cli/diff.go
+++ b/transport/cli/diff.go
@@ -18,10 +18,10 @@
 	}
 	d, f := c.Declaration(ctx, operator)
 	if f != nil && (f.Problem == nil || f.Problem.Reason != state.ReasonNoDeclaration) {
-		return v.failed(f)
+		return v.reportFailure(f)
 	}
 	lines := diffLines(splitLines(d.Raw), splitLines(raw))
-	doc := difference{Operator: operator, Version: d.Version, Same: len(lines) == 0, Lines: lines}
+	doc := diffDoc{Operator: operator, Version: d.Version, Same: len(lines) == 0, Lines: lines}
 	v.print(doc, func() {
 		for _, l := range lines {
 			v.printf("%s\n", l)
@@ -33,8 +33,8 @@
 	return ExitRefused
 }
 
-// difference is a comparison as scripts read it.
-type difference struct {
+// diffDoc is the JSON output of the command diff.
+type diffDoc struct {
 	Operator string        `json:"operator"`
 	Version  state.Version `json:"version"`
 	Same     bool          `json:"same"`
@@ -48,9 +48,9 @@
 	return strings.Split(strings.TrimSuffix(string(b), "\n"), "\n")
 }
 
-// diffLines returns the lines that went, with "- " before them, and those that
-// came, with "+ ", in the order of the files. It finds a longest common
-// subsequence of what lies between the common head and tail.
+// diffLines returns the removed lines with the prefix "- " and the added lines with the prefix "+ ",
+// in the order of the files. It computes a longest common subsequence of the lines between the
+// common prefix and suffix.
 func diffLines(before, after []string) []string {
 	for len(before) > 0 && len(after) > 0 && before[0] == after[0] {
 		before, after = before[1:], after[1:]
@@ -77,7 +77,8 @@
 	return out
 }
 
-// commonLengths[i][j] is how many lines before[i:] and after[j:] have in common.
+// commonLengths returns a table whose element [i][j] is the length of the longest common
+// subsequence of before[i:] and after[j:].
 func commonLengths(before, after []string) [][]int32 {
 	table := make([][]int32, len(before)+1)
 	for i := range table {
--- a/transport/httpapi/auth.go
+++ b/transport/httpapi/auth.go
@@ -11,20 +11,20 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// Role is what the holder of a token may do.
+// Role is the set of operations that a token permits.
 type Role string
 
-// The roles. Each may do what the one before it may.
+// The roles, in ascending order. Each includes the permissions of the one before it.
 const (
-	// RoleCaller submits to the services of its operator.
+	// RoleCaller may submit to the services of its operator.
 	RoleCaller Role = "caller"
-	// RoleOperator also declares for its operator and reads the status.
+	// RoleOperator may also apply declarations of its operator and read the status.
 	RoleOperator Role = "operator"
-	// RoleAdmin acts for every operator.
+	// RoleAdmin may act for every operator and drain failure domains.
 	RoleAdmin Role = "admin"
 )
 
-// rank orders the roles; an unknown one ranks below all.
+// rank returns the position of a role in the order of roles, or zero for an unknown role.
 func (r Role) rank() int {
 	switch r {
 	case RoleCaller:
@@ -37,78 +37,78 @@
 	return 0
 }
 
-// Token is one bearer token and whom it stands for.
+// Token is a bearer token with the operator and role that it authenticates.
 type Token struct {
 	Secret   string
 	Operator string // unused for RoleAdmin
 	Role     Role
 }
 
-// principal is who asks.
+// principal is the authenticated sender of a request.
 type principal struct {
 	operator string
 	role     Role
 }
 
-// actsFor says whether the principal may act for an operator.
-func (p principal) actsFor(operator string) bool {
+// mayActFor reports whether the principal may act for an operator.
+func (p principal) mayActFor(operator string) bool {
 	return p.role == RoleAdmin || (p.operator == operator && operator != "")
 }
 
-// prefixSize is how much of a token's digest finds it in the table.
-const prefixSize = 8
+// digestPrefixSize is the number of bytes of a token's digest that form its key in a tokenTable.
+const digestPrefixSize = 8
 
-type prefix [prefixSize]byte
+type digestPrefix [digestPrefixSize]byte
 
-// tokenTable finds a principal by the start of its token's digest and then
-// compares the whole digests in constant time. The time that a lookup takes
-// tells nothing about the secrets, because whoever guesses at a token can't
-// steer its digest.
-type tokenTable map[prefix]tokenEntry
+// tokenTable maps the prefix of a token's digest to the whole digest, which is compared in
+// constant time, and the principal. The duration of a lookup discloses nothing about the secrets,
+// because an attacker who guesses tokens can't choose their digests.
+type tokenTable map[digestPrefix]tokenEntry
 
 type tokenEntry struct {
-	digest [sha256.Size]byte
-	who    principal
+	digest    [sha256.Size]byte
+	principal principal
 }
 
 func newTokenTable(tokens []Token) tokenTable {
 	t := make(tokenTable, len(tokens))
 	for _, token := range tokens {
 		sum := sha256.Sum256([]byte(token.Secret))
-		t[prefix(sum[:prefixSize])] = tokenEntry{digest: sum, who: principal{operator: token.Operator, role: token.Role}}
+		t[digestPrefix(sum[:digestPrefixSize])] = tokenEntry{digest: sum, principal: principal{operator: token.Operator, role: token.Role}}
 	}
 	return t
 }
 
 func (t tokenTable) find(secret string) (principal, bool) {
-	// An empty secret in the settings is a mistake and opens nothing.
+	// An empty secret in the settings is a mistake and must not grant access.
 	if secret == "" {
 		return principal{}, false
 	}
 	sum := sha256.Sum256([]byte(secret))
-	e, ok := t[prefix(sum[:prefixSize])]
+	e, ok := t[digestPrefix(sum[:digestPrefixSize])]
 	if !ok || subtle.ConstantTimeCompare(e.digest[:], sum[:]) != 1 {
 		return principal{}, false
 	}
-	return e.who, true
+	return e.principal, true
 }
 
-// authorize finds out who asks and whether its role is enough.
-func (s *server) authorize(x *exchange, need Role) *api.Problem {
+// authorize authenticates the sender of the request, stores it in x.principal and checks that it
+// has at least the role minRole.
+func (s *server) authorize(x *exchange, minRole Role) *api.Problem {
 	who, ok := s.authenticate(x.req)
 	if !ok {
-		return api.NewProblem(state.ReasonUnauthorized, x.turnedAway, "this attempt was not accepted")
+		return api.NewProblem(state.ReasonUnauthorized, x.refusalOutcome, "this attempt was not accepted")
 	}
-	if who.role.rank() < need.rank() {
-		return x.forbidden("this needs the role %s", need)
+	if who.role.rank() < minRole.rank() {
+		return x.forbidden("this needs the role %s", minRole)
 	}
-	x.who = who
+	x.principal = who
 	return nil
 }
 
-// authenticate finds out who asks. Without tokens the loopback interface is
-// the only protection, so that nobody else is let in, whatever address the
-// listener was given.
+// authenticate returns the principal of a request. If no tokens are configured, the loopback
+// interface is the only protection, so requests from other addresses are refused whatever address
+// the server listens on.
 func (s *server) authenticate(req *http.Request) (principal, bool) {
 	if len(s.Tokens) == 0 {
 		return principal{role: RoleAdmin}, fromLoopback(req)
@@ -130,5 +130,5 @@
 }
 
 func (x *exchange) forbidden(format string, args ...any) *api.Problem {
-	return api.NewProblem(state.ReasonForbidden, x.turnedAway, format, args...)
+	return api.NewProblem(state.ReasonForbidden, x.refusalOutcome, format, args...)
 }
--- a/transport/httpapi/declarations.go
+++ b/transport/httpapi/declarations.go
@@ -8,7 +8,7 @@
 )
 
 func (s *server) applyDeclaration(x *exchange) {
-	operator, p := s.ownOperator(x)
+	operator, p := s.authorizedOperator(x)
 	if p != nil {
 		x.refuse(p)
 		return
@@ -24,8 +24,8 @@
 		return
 	}
 	defer release()
-	// The record may be in the log even if the operator has gone away, so its
-	// fate is followed to the end all the same.
+	// The record may reach the log even if the operator disconnects, so the disconnect
+	// doesn't cancel the apply.
 	applied := s.Declarer.Apply(x.detached(), operator, base, raw)
 	if applied.Outcome != state.Complete || applied.Reason != state.ReasonNone {
 		x.refuse(applyProblem(applied))
@@ -48,9 +48,9 @@
 	return p
 }
 
-// baseVersion reads the version that a declaration replaces. It is never
-// guessed: two operators who both meant "whatever is there" would overwrite
-// each other unseen.
+// baseVersion returns the version that a declaration replaces, from If-Match or If-None-Match. It
+// has no default: two users who both replaced the current version, whatever it is, would
+// overwrite each other's change without noticing.
 func baseVersion(h http.Header) (state.Version, *api.Problem) {
 	match, none := h.Values("If-Match"), h.Values("If-None-Match")
 	switch {
@@ -66,7 +66,7 @@
 }
 
 func (s *server) getDeclaration(x *exchange) {
-	operator, p := s.ownOperator(x)
+	operator, p := s.authorizedOperator(x)
 	if p != nil {
 		x.refuse(p)
 		return
@@ -81,22 +81,21 @@
 }
 
 func (s *server) getHistory(x *exchange) {
-	operator, p := s.ownOperator(x)
+	operator, p := s.authorizedOperator(x)
 	if p != nil {
 		x.refuse(p)
 		return
 	}
-	x.answer(api.History{Operator: operator, Entries: orEmpty(s.Declarer.History(operator))})
+	x.answer(api.History{Operator: operator, Entries: nonNil(s.Declarer.History(operator))})
 }
 
-// ownOperator returns the operator that is asked for, if the asker may act
-// for it.
-func (s *server) ownOperator(x *exchange) (string, *api.Problem) {
+// authorizedOperator returns the operator in the path if the principal may act for it.
+func (s *server) authorizedOperator(x *exchange) (string, *api.Problem) {
 	operator := x.params.ByName("operator")
 	if p := api.CheckOperator(operator); p != nil {
 		return "", p
 	}
-	if !x.who.actsFor(operator) {
+	if !x.principal.mayActFor(operator) {
 		return "", x.forbidden("the token is not for operator %q", operator)
 	}
 	return operator, nil
--- a/transport/httpapi/drains.go
+++ b/transport/httpapi/drains.go
@@ -15,8 +15,8 @@
 		x.refuse(p)
 		return
 	}
-	// The record may be in the store even if the operator has gone away, so its fate is
-	// followed to the end all the same.
+	// The record may reach the store even if the operator disconnects, so the disconnect
+	// doesn't cancel the change.
 	applied := s.Drainer.SetDrain(x.detached(), domain, drained)
 	if applied.Outcome != state.Complete || applied.Reason != state.ReasonNone {
 		x.refuse(applyProblem(applied))
@@ -26,7 +26,7 @@
 }
 
 func (s *server) listDrains(x *exchange) {
-	x.answer(api.DrainList{Domains: orEmpty(s.Drainer.Drains())})
+	x.answer(api.DrainList{Domains: nonNil(s.Drainer.Drains())})
 }
 
 func (s *server) getDrainHistory(x *exchange) {
@@ -35,5 +35,5 @@
 		x.refuse(p)
 		return
 	}
-	x.answer(api.DrainHistory{Domain: domain, Entries: orEmpty(s.Drainer.DrainHistory(domain))})
+	x.answer(api.DrainHistory{Domain: domain, Entries: nonNil(s.Drainer.DrainHistory(domain))})
 }
--- a/transport/httpapi/handler.go
+++ b/transport/httpapi/handler.go
@@ -13,15 +13,16 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// server holds what the handlers share. It has no state of its own to guard.
+// server holds what the handlers share. It has no mutable state of its own besides bufferedBytes,
+// which is safe for concurrent use.
 type server struct {
 	Options
-	tokens  tokenTable
-	metrics *metrics
-	held    *semaphore.Weighted
+	tokens        tokenTable
+	metrics       *metrics
+	bufferedBytes *semaphore.Weighted
 }
 
-// New returns the handler of an entry's HTTP interface.
+// New returns the handler of an entry's HTTP API.
 func New(o Options) http.Handler {
 	if o.Registry == nil {
 		o.Registry = prometheus.NewRegistry()
@@ -29,19 +30,19 @@
 	if o.Ready == nil {
 		o.Ready = func() bool { return true }
 	}
-	if o.MaxHeldBytes == 0 {
-		o.MaxHeldBytes = DefaultMaxHeldBytes
+	if o.MaxBufferedBytes == 0 {
+		o.MaxBufferedBytes = DefaultMaxBufferedBytes
 	}
 	s := &server{
-		Options: o,
-		tokens:  newTokenTable(o.Tokens),
-		metrics: newMetrics(o.Registry, o.Refused),
-		held:    semaphore.NewWeighted(o.MaxHeldBytes),
+		Options:       o,
+		tokens:        newTokenTable(o.Tokens),
+		metrics:       newMetrics(o.Registry, o.OnRefusal),
+		bufferedBytes: semaphore.NewWeighted(o.MaxBufferedBytes),
 	}
 	routes := s.routes()
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		// The deadline of the connection's previous answer would otherwise cut
-		// off one that is written later.
+		// Clear the write deadline of the connection's previous answer, which would
+		// otherwise apply to this one.
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 		routes.ServeHTTP(w, req)
 	})
@@ -49,14 +50,14 @@
 
 func (s *server) routes() http.Handler {
 	r := httprouter.New()
-	// A redirect would send a submission a second time, and a cleaned path
-	// may name another job.
+	// A redirect would make clients send a submission twice, and a cleaned path may
+	// identify another job.
 	r.RedirectTrailingSlash = false
 	r.RedirectFixedPath = false
-	r.NotFound = s.plain("none", s.notFound)
-	r.MethodNotAllowed = s.plain("none", s.methodNotAllowed)
+	r.NotFound = s.public("none", s.notFound)
+	r.MethodNotAllowed = s.public("none", s.methodNotAllowed)
 
-	// An id may hold slashes, hence the catch-all.
+	// An id may contain slashes, so its parameter is a catch-all.
 	s.handle(r, http.MethodPost, "/v1/services/:service/jobs", RoleCaller, s.submitJob)
 	s.handle(r, http.MethodGet, "/v1/services/:service/jobs/*id", RoleCaller, s.queryJob)
 	s.handle(r, http.MethodDelete, "/v1/services/:service/jobs/*id", RoleCaller, s.cancelJob)
@@ -66,7 +67,7 @@
 	s.handle(r, http.MethodGet, "/v1/declarations/:operator", RoleOperator, s.getDeclaration)
 	s.handle(r, http.MethodGet, "/v1/declarations/:operator/history", RoleOperator, s.getHistory)
 
-	// A drain concerns all operators.
+	// A drain affects all operators, so it needs RoleAdmin.
 	s.handle(r, http.MethodPut, "/v1/drains/:domain", RoleAdmin, s.setDrain)
 	s.handle(r, http.MethodDelete, "/v1/drains/:domain", RoleAdmin, s.endDrain)
 	s.handle(r, http.MethodGet, "/v1/drains", RoleOperator, s.listDrains)
@@ -75,20 +76,20 @@
 	s.handle(r, http.MethodGet, "/v1/status", RoleOperator, s.getStatus)
 	r.Handler(http.MethodGet, "/metrics", promhttp.HandlerFor(s.Registry, promhttp.HandlerOpts{}))
 	for _, method := range []string{http.MethodGet, http.MethodHead} {
-		r.Handler(method, "/healthz", s.plain("/healthz", s.healthz))
-		r.Handler(method, "/readyz", s.plain("/readyz", s.readyz))
+		r.Handler(method, "/healthz", s.public("/healthz", s.healthz))
+		r.Handler(method, "/readyz", s.public("/readyz", s.readyz))
 	}
 	return r
 }
 
-// handle registers a resource that needs at least a role.
-func (s *server) handle(r *httprouter.Router, method, route string, need Role, h func(*exchange)) {
+// handle registers a route that needs at least the role minRole.
+func (s *server) handle(r *httprouter.Router, method, route string, minRole Role, h func(*exchange)) {
 	r.Handle(method, route, func(w http.ResponseWriter, req *http.Request, ps httprouter.Params) {
 		x := s.begin(w, req, ps, route)
-		if need == RoleCaller {
-			x.turnedAway = state.Unknown
+		if minRole == RoleCaller {
+			x.refusalOutcome = state.Unknown
 		}
-		if p := s.authorize(x, need); p != nil {
+		if p := s.authorize(x, minRole); p != nil {
 			x.refuse(p)
 		} else {
 			h(x)
@@ -97,8 +98,8 @@
 	})
 }
 
-// plain makes a handler of a resource that is open to everybody.
-func (s *server) plain(route string, h func(*exchange)) http.Handler {
+// public returns the handler of a route that needs no authorization.
+func (s *server) public(route string, h func(*exchange)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		x := s.begin(w, req, nil, route)
 		h(x)
--- a/transport/httpapi/status.go
+++ b/transport/httpapi/status.go
@@ -7,37 +7,37 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
-// ok is the body of a passed health check.
-const ok = "ok\n"
+// healthyBody is the body of a passed health check.
+const healthyBody = "ok\n"
 
 const contentTypeText = "text/plain; charset=utf-8"
 
 func (s *server) getStatus(x *exchange) {
 	doc := s.Status.Status()
-	doc.Agents = orEmpty(doc.Agents)
-	doc.DrainedDomains = orEmpty(doc.DrainedDomains)
-	doc.Declarations = orEmpty(doc.Declarations)
+	doc.Agents = nonNil(doc.Agents)
+	doc.DrainedDomains = nonNil(doc.DrainedDomains)
+	doc.Declarations = nonNil(doc.Declarations)
 	x.answer(doc)
 }
 
-// orEmpty makes a list that stands as [] in JSON and never as null.
-func orEmpty[T any](list []T) []T {
+// nonNil returns list, or an empty list instead of nil, so that JSON has [] and not null.
+func nonNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
 	}
 	return list
 }
 
-// healthz says that the process runs.
+// healthz reports that the process is running.
 func (s *server) healthz(x *exchange) {
-	x.write(http.StatusOK, contentTypeText, []byte(ok))
+	x.write(http.StatusOK, contentTypeText, []byte(healthyBody))
 }
 
-// readyz says whether the balancer may send work here.
+// readyz reports whether the load balancer may send requests to this entry.
 func (s *server) readyz(x *exchange) {
 	if !s.Ready() {
 		x.refuse(api.NewProblem(state.ReasonNotReady, state.NotRun, "this entry takes no new work"))
 		return
 	}
-	x.write(http.StatusOK, contentTypeText, []byte(ok))
+	x.write(http.StatusOK, contentTypeText, []byte(healthyBody))
 }
