--- a/state/declaration/checker.go
+++ b/state/declaration/checker.go
@@ -47,7 +47,7 @@
 	}
 	omitted := len(c.errs) - maxErrors
 	last := c.errs[maxErrors-1]
-	more := &strictjson.FieldError{File: last.File, Line: last.Line, Msg: fmt.Sprintf("and %d more errors", omitted)}
+	more := &strictjson.FieldError{File: last.File, Line: last.Line, Msg: fmt.Sprintf("and %d more faults", omitted)}
 	return append(c.errs[:maxErrors:maxErrors], more)
 }
 
@@ -67,7 +67,7 @@
 
 func (c *checker) checkCount(key string, n, limit int) {
 	if n > limit {
-		c.addErrorf(key, "%d names exceed the limit of %d", n, limit)
+		c.addErrorf(key, "%d names are more than %d", n, limit)
 	}
 }
 
@@ -105,7 +105,7 @@
 		return DefaultCores
 	}
 	if v <= 0 || v > MaxCores {
-		c.addErrorf(key, "have %v, want more than 0 and at most %d", v, MaxCores)
+		c.addErrorf(key, "%v is outside 0 to %d", v, MaxCores)
 	}
 	return v
 }
@@ -114,7 +114,7 @@
 // domain.
 func (c *checker) requiredName(key, s string) string {
 	if c.requireKey(key) && !ValidName(s) {
-		c.addErrorf(key, "%q is not a valid name: want 1 to %d characters of a-z, 0-9, '-', '_', '.', the first a letter or digit",
+		c.addErrorf(key, "%q is not a name: want 1 to %d of a-z, 0-9, '-', '_', '.', the first a letter or digit",
 			s, state.MaxIDLength)
 	}
 	return s
--- a/state/declaration/parse.go
+++ b/state/declaration/parse.go
@@ -53,7 +53,7 @@
 // force.
 func Parse(name string, src []byte) (*File, error) {
 	if len(src) > MaxFileBytes {
-		msg := fmt.Sprintf("the file has %d bytes, which exceeds the limit of %d", len(src), MaxFileBytes)
+		msg := fmt.Sprintf("file of %d bytes is larger than %d", len(src), MaxFileBytes)
 		return nil, strictjson.Errors{{File: name, Line: 1, Msg: msg}}
 	}
 	var in fileJSON
@@ -80,7 +80,7 @@
 	}
 	c.requireKey("services")
 	if len(in.Services) > MaxServices {
-		c.addErrorf("services", "%d services exceed the limit of %d", len(in.Services), MaxServices)
+		c.addErrorf("services", "%d services are more than %d", len(in.Services), MaxServices)
 		return f
 	}
 	f.Services = c.convertServices(in.Services)
@@ -94,7 +94,7 @@
 		key := fmt.Sprintf("services[%d]", i)
 		s := c.convertService(key, &in[i])
 		if names[s.Name] {
-			c.addErrorf(key+".name", "duplicate service %q", s.Name)
+			c.addErrorf(key+".name", "service %q stands twice", s.Name)
 		}
 		names[s.Name] = true
 		out = append(out, s)
--- a/state/declaration/parse_test.go
+++ b/state/declaration/parse_test.go
@@ -52,15 +52,15 @@
 	_, err := Parse("gridlog.json", []byte(src))
 	is.True(err != nil)
 	want := []string{
-		`gridlog.json:3: operator: "grid log" is not a valid name`,
+		`gridlog.json:3: operator: "grid log" is not a name`,
 		`gridlog.json:4: priority: must be an integer of at most 64 bits, is the string "high"`,
 		`gridlog.json:5: quota.tasks_in_flight: must be an integer of at most 64 bits, is 10.5`,
 		`gridlog.json:5: quota.tasks_per_second: 0 is outside 1 to 1000000`,
 		`gridlog.json:10: services[0].quoat: unknown key`,
-		`gridlog.json:11: services[0].name: duplicate key, first on line 8`,
+		`gridlog.json:11: services[0].name: key stands twice, first in line 8`,
 		`gridlog.json:12: services[0].placement.racks[0]: want "domain/rack", have "r1"`,
 		`gridlog.json:14: services[1].region: key is missing`,
-		`gridlog.json:14: services[1].name: duplicate service "yard-logbook"`,
+		`gridlog.json:14: services[1].name: service "yard-logbook" stands twice`,
 	}
 	got := strings.Split(err.Error(), "\n")
 	is.Equal(len(got), len(want))
--- a/state/store/store.go
+++ b/state/store/store.go
@@ -14,13 +14,13 @@
 // may still be carried out later.
 var (
 	// ErrRejected means that the call had no effect and will have none.
-	ErrRejected = errors.New("the store rejected the call")
+	ErrRejected = errors.New("the store has rejected the call")
 	// ErrFenced means that a producer with a higher epoch has written to the
 	// partition.
-	ErrFenced = errors.New("the producer is fenced: the partition has a newer epoch")
+	ErrFenced = errors.New("a newer epoch owns the partition")
 	// ErrTrimmed means that the log no longer holds the requested records. The
 	// caller has to continue from the result of Newest.
-	ErrTrimmed = errors.New("the requested records were trimmed from the log")
+	ErrTrimmed = errors.New("the records were dropped")
 )
 
 // Partition identifies a partition: a topic and the number of the partition
--- a/state/strictjson/decoder.go
+++ b/state/strictjson/decoder.go
@@ -34,7 +34,7 @@
 	case target.Type() == rawType:
 		target.SetBytes(standardJSON(v))
 	case v.Value.Kind() == 'n':
-		d.addErrorf(key, v, "null is not allowed: omit the key instead")
+		d.addErrorf(key, v, "null is not a value: leave the key out instead")
 	case target.Kind() == reflect.Pointer:
 		if target.IsNil() {
 			target.Set(reflect.New(target.Type().Elem()))
@@ -109,7 +109,7 @@
 		path := joinKey(key, name)
 		line := d.doc.lineAt(m.Name.StartOffset)
 		if first, duplicate := seen[name]; duplicate {
-			d.addErrorf(path, &m.Name, "duplicate key, first on line %d", first)
+			d.addErrorf(path, &m.Name, "key stands twice, first in line %d", first)
 			continue
 		}
 		seen[name] = line
--- a/state/strictjson/describe.go
+++ b/state/strictjson/describe.go
@@ -25,7 +25,7 @@
 	case reflect.Float32, reflect.Float64:
 		return "a number"
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		return fmt.Sprintf("a non-negative integer of at most %d bits", t.Bits())
+		return fmt.Sprintf("an integer from 0 of at most %d bits", t.Bits())
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
 		return fmt.Sprintf("an integer of at most %d bits", t.Bits())
 	default:
--- a/state/strictjson/strictjson_test.go
+++ b/state/strictjson/strictjson_test.go
@@ -69,13 +69,13 @@
 		`s.json:3: Slots: unknown key, write "slots"`,
 		`s.json:4: share: must be a number, is the string "much"`,
 		`s.json:5: wait: must be a duration such as "250ms" or "5s", is 250`,
-		`s.json:6: tls.cert: duplicate key, first on line 6`,
-		`s.json:6: tls.port: must be a non-negative integer of at most 16 bits, is 70000`,
-		`s.json:8: hosts[1].port: must be a non-negative integer of at most 16 bits, is -1`,
+		`s.json:6: tls.cert: key stands twice, first in line 6`,
+		`s.json:6: tls.port: must be an integer from 0 of at most 16 bits, is 70000`,
+		`s.json:8: hosts[1].port: must be an integer from 0 of at most 16 bits, is -1`,
 		`s.json:8: hosts[1].prot: unknown key`,
 		`s.json:9: quotas: must be an object, is an array`,
-		`s.json:10: name: duplicate key, first on line 2`,
-		`s.json:12: slots: null is not allowed: omit the key instead`,
+		`s.json:10: name: key stands twice, first in line 2`,
+		`s.json:12: slots: null is not a value: leave the key out instead`,
 	}
 	is.True(err != nil)
 	is.Equal(strings.Split(err.Error(), "\n"), want)
