--- a/coordination/load/crash_test.go
+++ b/coordination/load/crash_test.go
@@ -106,12 +106,12 @@
 	name string
 	set  func(*owner.Params)
 }{
-	{"no judgement", func(p *owner.Params) { p.CrashesApart, p.CrashesAlone, p.MaxCrashes = 1000, 1000, 1000 }},
-	{"by count alone, two", func(p *owner.Params) { p.CrashesApart, p.CrashesAlone, p.MaxCrashes = 1000, 1000, 2 }},
-	{"by count alone, three", func(p *owner.Params) { p.CrashesApart, p.CrashesAlone, p.MaxCrashes = 1000, 1000, 3 }},
-	{"apart from other suspects", func(p *owner.Params) { p.CrashesAlone = 1000 }},
+	{"no judgement", func(p *owner.Params) { p.MinCrashesApart, p.MinCrashesExclusive, p.MaxCrashes = 1000, 1000, 1000 }},
+	{"by count alone, two", func(p *owner.Params) { p.MinCrashesApart, p.MinCrashesExclusive, p.MaxCrashes = 1000, 1000, 2 }},
+	{"by count alone, three", func(p *owner.Params) { p.MinCrashesApart, p.MinCrashesExclusive, p.MaxCrashes = 1000, 1000, 3 }},
+	{"apart from other suspects", func(p *owner.Params) { p.MinCrashesExclusive = 1000 }},
 	{"apart, then alone", func(*owner.Params) {}},
-	{"alone at once", func(p *owner.Params) { p.CrashesAlone = 1 }},
+	{"alone at once", func(p *owner.Params) { p.MinCrashesExclusive = 1 }},
 }
 
 func TestCrashPolicies(t *testing.T) {
--- a/coordination/owner/admission_test.go
+++ b/coordination/owner/admission_test.go
@@ -15,7 +15,7 @@
 // tests set.
 type bestEffortFixture struct {
 	*fixture
-	verdicts map[job.ID]*Response
+	responses map[job.ID]*Response
 }
 
 func newBestEffortFixture(t *testing.T) *bestEffortFixture {
@@ -23,7 +23,7 @@
 	f.Shard = NewPrivate(f.now, 99, testBounds, f.fleet)
 	f.link("a", 1)
 	f.now += f.fleet.params.StartupGrace
-	return &bestEffortFixture{fixture: f, verdicts: make(map[job.ID]*Response)}
+	return &bestEffortFixture{fixture: f, responses: make(map[job.ID]*Response)}
 }
 
 // setLoad reports the agent's load to the shard: its free cores and its backlog, the time of
@@ -45,13 +45,13 @@
 
 // submitTasks submits a job of one-core tasks of 100 ms. Its latency objective is 220 ms, and
 // its answer is useful for 660 ms.
-func (e *bestEffortFixture) submitTasks(id job.ID, tasks int, patience time.Duration) *Response {
-	spec := job.Spec{BestEffort: true, ClientTimeout: patience, Steps: []job.Step{{
+func (e *bestEffortFixture) submitTasks(id job.ID, tasks int, clientTimeout time.Duration) *Response {
+	spec := job.Spec{BestEffort: true, ClientTimeout: clientTimeout, Steps: []job.Step{{
 		Count: tasks, Demand: job.Demand{CPUMillis: 1000}, Estimate: 100 * time.Millisecond,
 	}}}
 	p := job.Policy{Queue: "quotes", Service: "desk", MaxAttempts: 2, Slack: 1.6, Target: 60 * time.Millisecond, RequestTimeout: 1500 * time.Millisecond}
 	got := &Response{Outcome: Unknown}
-	e.verdicts[id] = got
+	e.responses[id] = got
 	e.collect(e.Submit(e.now, id, spec, p, func(v Response) { *got = v }))
 	return got
 }
@@ -209,7 +209,7 @@
 }
 
 // After a power loss half of the submissions are retries of jobs whose first attempt was cut
-// off. The patience that they name shows that their clients have waited for over a second, so
+// off. Their client timeouts show that the clients have waited for over a second already, so
 // that most answers come too late to be useful. Such retries must not take capacity from new
 // jobs when there is none to spare, and run when there is.
 func TestRetriesThatWaitedDoNotDisplaceNewJobs(t *testing.T) {
@@ -226,10 +226,10 @@
 }
 
 // The clients of a queue wait at most 0.6 s, less than the time limit of their route. Such a
-// short patience must not be taken as the remaining patience of a retry.
-func TestShortPatienceIsNotARetry(t *testing.T) {
+// short client timeout must not be taken for what is left of a retry's timeout.
+func TestShortClientTimeoutIsNotARetry(t *testing.T) {
 	is := is.New(t)
-	var l patienceLog
+	var l clientTimeoutLog
 	for i := range 40 {
 		l.note(time.Duration(200+i*17%40*10) * time.Millisecond)
 		is.Equal(l.waited(300*time.Millisecond, 1500*time.Millisecond), time.Duration(0))
--- a/coordination/owner/crash.go
+++ b/coordination/owner/crash.go
@@ -161,14 +161,14 @@
 	return others >= minCorrelatedLosses
 }
 
-// caution returns how far a task must be kept apart from other runs.
-func (s *Shard) caution(rec *job.TaskRecord) worker.Isolation {
+// isolation returns how strictly the runs of a task must be isolated from other runs.
+func (s *Shard) isolation(rec *job.TaskRecord) worker.Isolation {
 	switch n := len(rec.Crashes); {
 	case n == 0:
 		return worker.NoIsolation
-	case n >= s.fleet.params.CrashesAlone:
+	case n >= s.fleet.params.MinCrashesExclusive:
 		return worker.Exclusive
-	case n >= s.fleet.params.CrashesApart:
+	case n >= s.fleet.params.MinCrashesApart:
 		return worker.ApartFromSuspects
 	}
 	return worker.NoIsolation
--- a/coordination/owner/crash_test.go
+++ b/coordination/owner/crash_test.go
@@ -65,10 +65,10 @@
 // task is not started again, and its job is reported as failed.
 func TestTaskUnderThreeCrashesIsGivenUp(t *testing.T) {
 	f := newCrashFixture(t)
-	cautions := []worker.Isolation{worker.NoIsolation, worker.ApartFromSuspects, worker.Exclusive}
+	isolations := []worker.Isolation{worker.NoIsolation, worker.ApartFromSuspects, worker.Exclusive}
 	been := make(map[string]bool)
 	o := f.submitSingle()
-	for i, want := range cautions {
+	for i, want := range isolations {
 		f.is.Equal(len(f.orders), i+1)
 		f.is.Equal(o.Value.Isolation, want)
 		f.is.True(!been[o.Node])
@@ -76,7 +76,7 @@
 		f.reportLoss(o, 4-i, worker.LossConfirmed)
 		o = f.lastOrder()
 	}
-	f.is.Equal(len(f.orders), len(cautions))
+	f.is.Equal(len(f.orders), len(isolations))
 	v := f.Lookup(testID)
 	f.is.Equal(v.State, job.Failed)
 	f.is.Equal(v.Failure, FailureCrashed)
@@ -113,7 +113,7 @@
 // A task ran twice beside another one that crashed its servers, and its third run ends. The
 // task did not cause the crashes: those losses are forgotten and do not count towards a later
 // loss.
-func TestNeighbourIsAcquittedWhenItEnds(t *testing.T) {
+func TestNeighbourIsClearedWhenItEnds(t *testing.T) {
 	f := newCrashFixture(t)
 	f.reportLoss(f.submitSingle(), 5, worker.LossConfirmed)
 	f.reportLoss(f.lastOrder(), 2, worker.LossConfirmed)
@@ -129,7 +129,7 @@
 
 // Two tasks are lost with one server, and one of them then crashes another server on its own.
 // The other task is cleared of the first crash and may run beside any task again.
-func TestNeighbourOfACrasherIsAcquitted(t *testing.T) {
+func TestNeighbourOfACrasherIsCleared(t *testing.T) {
 	f := newCrashFixture(t)
 	crasher := f.submitSingle()
 	f.submit("00000000000000bb", steps(1))
@@ -241,7 +241,7 @@
 }
 
 // The report of a lost server is lost with its link. The answer to the next link's claim
-// repeats it. If the run was taken as merely missing, the task was started without caution and
+// repeats it. If the run was taken as merely missing, the task was started without isolation and
 // crashed another server for each lost link.
 func TestLossIsReportedWithTheNextClaim(t *testing.T) {
 	f := newCrashFixture(t)
@@ -261,7 +261,7 @@
 // server too, and the report of this is lost with the link. The second loss must count, since
 // the task was cleared of the earlier run only; otherwise a task that crashes its servers gets
 // an additional start for each.
-func TestAcquittalIsOfEarlierRunsOnly(t *testing.T) {
+func TestOnlyEarlierRunsAreCleared(t *testing.T) {
 	f := newCrashFixture(t)
 	first := f.submitSingle()
 	f.reportLoss(first, 3, worker.LossConfirmed)
@@ -325,7 +325,7 @@
 // A task waits for the record of its second loss when another task is found to have crashed
 // both servers. It is cleared of suspicion and must be started again; nothing started it, and
 // its accepted job never ended.
-func TestAcquittedTaskThatWaitedIsStarted(t *testing.T) {
+func TestClearedTaskThatWaitedIsStarted(t *testing.T) {
 	f := newCrashFixture(t)
 	first := f.submitSingle()
 	f.reportLoss(first, 3, worker.LossConfirmed)
--- a/coordination/owner/dispatch.go
+++ b/coordination/owner/dispatch.go
@@ -54,8 +54,8 @@
 		Due:          j.due,
 		Checkpoint:   j.rec.Task(id).Checkpoint,
 		MaxPerWorker: st.MaxPerWorker,
-		Once:         j.rec.Policy.AtMostOnce,
-		Isolation:    s.caution(j.rec.Task(id)),
+		AtMostOnce:   j.rec.Policy.AtMostOnce,
+		Isolation:    s.isolation(j.rec.Task(id)),
 	}
 }
 
--- a/coordination/owner/fleet.go
+++ b/coordination/owner/fleet.go
@@ -73,9 +73,9 @@
 	// Avoid has the agents on which the task failed or whose servers were lost under it. They are
 	// chosen only when no other is eligible.
 	Avoid []string
-	// Caution is set for a task that may crash its backend server. It is placed where few other
-	// runs and no other suspects are.
-	Caution worker.Isolation
+	// Isolation is set for a task that may crash its backend server. Such a task is placed where
+	// few other runs and no other suspects are.
+	Isolation worker.Isolation
 }
 
 // Fleet holds the state of the agents that this process has links to. It is shared by the shards of
@@ -115,7 +115,7 @@
 
 func (v *agentView) addPending(n PlacementRequest) {
 	v.sent++
-	v.pending = append(v.pending, pendingOrder{number: v.sent, at: n.Now, demand: n.Demand, work: coreTime(n), suspect: n.Caution != worker.NoIsolation})
+	v.pending = append(v.pending, pendingOrder{number: v.sent, at: n.Now, demand: n.Demand, work: coreTime(n), suspect: n.Isolation != worker.NoIsolation})
 }
 
 // removeLastPending undoes the last addPending.
--- a/coordination/owner/owner.go
+++ b/coordination/owner/owner.go
@@ -187,9 +187,8 @@
 	jobs map[job.ID]*jobState
 	// dirty has the jobs whose records have to be written, in order.
 	dirty []job.ID
-	// patience has, for each queue, how long the clients of its last submissions said that they
-	// would wait.
-	patience map[string]*patienceLog
+	// clientTimeouts has, for each queue, the client timeouts of its last submissions.
+	clientTimeouts map[string]*clientTimeoutLog
 	// waiting has the tasks for which no agent has free capacity.
 	waiting backlog
 	links   map[string]*linkState
@@ -245,13 +244,13 @@
 func New(now time.Duration, id int, epoch int64, b Bounds, f *Fleet, records []*job.Record, mayRun []string) *Shard {
 	s := &Shard{
 		ID: id, Epoch: epoch, bounds: b, fleet: f, openedAt: now,
-		jobs:         make(map[job.ID]*jobState, len(records)),
-		links:        make(map[string]*linkState),
-		patience:     make(map[string]*patienceLog),
-		unreconciled: make(map[string]time.Duration, len(mayRun)),
-		queued:       make(map[string]int),
-		suspects:     make(map[job.TaskID]bool),
-		storedAgents: make(map[string]bool, len(mayRun)),
+		jobs:           make(map[job.ID]*jobState, len(records)),
+		links:          make(map[string]*linkState),
+		clientTimeouts: make(map[string]*clientTimeoutLog),
+		unreconciled:   make(map[string]time.Duration, len(mayRun)),
+		queued:         make(map[string]int),
+		suspects:       make(map[job.TaskID]bool),
+		storedAgents:   make(map[string]bool, len(mayRun)),
 	}
 	for _, node := range mayRun {
 		s.unreconciled[node] = now + b.TakeoverTimeout
--- a/coordination/owner/params.go
+++ b/coordination/owner/params.go
@@ -55,9 +55,10 @@
 	// OrderOverlap is the share of other processes' orders that is assumed to have gone where this
 	// process's own orders went since a worker's last load.
 	OrderOverlap float64
-	// CrashesApart, CrashesAlone and MaxCrashes are the numbers of backend servers lost under a
-	// task from which on it runs apart from other suspects, runs alone, and is given up.
-	CrashesApart, CrashesAlone, MaxCrashes int
+	// MinCrashesApart, MinCrashesExclusive and MaxCrashes are the numbers of backend servers lost
+	// under a task from which on it runs apart from other suspects, runs alone on its server, and is
+	// given up.
+	MinCrashesApart, MinCrashesExclusive, MaxCrashes int
 	// RunTimeWeight is the weight of a new measurement in the moving average of a queue's run
 	// times; about the last fifty measurements count.
 	RunTimeWeight float64
@@ -66,24 +67,24 @@
 // DefaultParams returns the parameters that are used in production.
 func DefaultParams() Params {
 	return Params{
-		ObjectiveShare:   0.75,
-		SlackShare:       0.35,
-		PriorityFactor:   0.95,
-		PrioritySteps:    4,
-		MinWaitLimit:     10 * time.Millisecond,
-		LateFactor:       3,
-		LateShare:        0.95,
-		LateRateWindow:   500 * time.Millisecond,
-		LatePriorShare:   0.25,
-		LateReserve:      0.1,
-		StartupGrace:     600 * time.Millisecond,
-		MaxPlacementWait: 25 * time.Millisecond,
-		PooledWaitFactor: 2,
-		StaleLoadAge:     320 * time.Millisecond,
-		OrderOverlap:     0.4,
-		CrashesApart:     1,
-		CrashesAlone:     2,
-		MaxCrashes:       3,
-		RunTimeWeight:    0.02,
+		ObjectiveShare:      0.75,
+		SlackShare:          0.35,
+		PriorityFactor:      0.95,
+		PrioritySteps:       4,
+		MinWaitLimit:        10 * time.Millisecond,
+		LateFactor:          3,
+		LateShare:           0.95,
+		LateRateWindow:      500 * time.Millisecond,
+		LatePriorShare:      0.25,
+		LateReserve:         0.1,
+		StartupGrace:        600 * time.Millisecond,
+		MaxPlacementWait:    25 * time.Millisecond,
+		PooledWaitFactor:    2,
+		StaleLoadAge:        320 * time.Millisecond,
+		OrderOverlap:        0.4,
+		MinCrashesApart:     1,
+		MinCrashesExclusive: 2,
+		MaxCrashes:          3,
+		RunTimeWeight:       0.02,
 	}
 }
--- a/coordination/owner/placement.go
+++ b/coordination/owner/placement.go
@@ -154,7 +154,7 @@
 		if slices.Contains(n.Avoid, node) || n.Now-v.updatedAt > f.params.StaleLoadAge {
 			p.rank += lastResortPenalty
 		}
-		if n.Caution != worker.NoIsolation {
+		if n.Isolation != worker.NoIsolation {
 			p.rank += v.isolationPenalty(p)
 		}
 		if !found || p.rank < best.rank {
--- a/coordination/owner/waiting.go
+++ b/coordination/owner/waiting.go
@@ -26,7 +26,7 @@
 	st := &j.rec.Spec.Steps[id.Step]
 	n := s.placementRequest(&j.rec.Policy, st)
 	key := placementKeyOf(&j.rec.Policy, st)
-	key.suspect = s.caution(j.rec.Task(id)) != worker.NoIsolation
+	key.suspect = s.isolation(j.rec.Task(id)) != worker.NoIsolation
 	return waitingTask{id: id, key: key, late: j.late, latestStart: j.due - n.Estimate, work: coreTime(n)}
 }
 
@@ -35,7 +35,7 @@
 	rec := j.rec.Task(id)
 	need := s.placementRequest(&j.rec.Policy, &j.rec.Spec.Steps[id.Step])
 	need.Now, need.Slack, need.Late = now, j.due-now-need.Estimate, j.late
-	need.Avoid, need.Caution = avoidedAgents(t, rec), s.caution(rec)
+	need.Avoid, need.Isolation = avoidedAgents(t, rec), s.isolation(rec)
 	node, ok := s.fleet.Place(need, s.mayOrderLocked)
 	if !ok {
 		return false
--- a/coordination/worker/crash_test.go
+++ b/coordination/worker/crash_test.go
@@ -129,7 +129,7 @@
 	first.Isolation, second.Isolation = ApartFromSuspects, ApartFromSuspects
 	f.send(first)
 	f.is.Equal(len(f.send(second).Starts), 0)
-	f.is.Equal(len(f.send(f.order(2)).Starts), 1) // runs without caution still start
+	f.is.Equal(len(f.send(f.order(2)).Starts), 1) // runs without isolation still start
 	f.is.Equal(f.Load(f.now).Suspects, 2)
 	f.endRun(first.Run, job.Done)
 	f.hold()
--- a/coordination/worker/former.go
+++ b/coordination/worker/former.go
@@ -44,7 +44,7 @@
 			s.heard = min(s.heard, now-w.bounds.OwnerTimeout)
 		}
 	}
-	if life, ok := w.formerOwners[node]; ok && life != owner {
+	if former, ok := w.formerOwners[node]; ok && former != owner {
 		delete(w.formerOwners, node)
 		if len(w.formerOwners) == 0 {
 			w.expireAdoptionLocked(now)
--- a/coordination/worker/former_test.go
+++ b/coordination/worker/former_test.go
@@ -71,7 +71,7 @@
 // A backend server answers starts within a few milliseconds and then leaves one in twenty
 // unanswered. The caller's short job is late if the agent waits much longer for a lost answer
 // than answers usually take.
-func TestPatienceFollowsTheAnswers(t *testing.T) {
+func TestHoldTimeoutFollowsTheResponseTimes(t *testing.T) {
 	is := is.New(t)
 	var a responseTimes
 	is.Equal(a.timeout(), maxResponseTimeout)
@@ -130,7 +130,7 @@
 		f.responses.observe(2 * time.Millisecond)
 	}
 	usual, once := f.order(1), f.order(2)
-	once.Once = true
+	once.AtMostOnce = true
 	f.is.Equal(f.collect(f.Order(f.now, usual)).Starts[0].ResponseTimeout, minResponseTimeout)
 	f.is.Equal(f.collect(f.Order(f.now, once)).Starts[0].ResponseTimeout, maxResponseTimeout)
 }
--- a/coordination/worker/health.go
+++ b/coordination/worker/health.go
@@ -141,7 +141,7 @@
 	for _, r := range w.runs {
 		// A run that must not be repeated is left to end: stopping it would fail its job for
 		// certain.
-		if r.phase == running && !r.stopWanted && !r.order.Once && r.overdue(now) > 0 {
+		if r.phase == running && !r.stopWanted && !r.order.AtMostOnce && r.overdue(now) > 0 {
 			w.stopLocked(now, fx, r, "stalled")
 		}
 	}
--- a/coordination/worker/hold.go
+++ b/coordination/worker/hold.go
@@ -209,7 +209,7 @@
 	r.end.seq, r.end.kind, r.end.checkpoint, r.end.result = e.Seq, e.Kind, e.Checkpoint, e.Result
 	w.unackedEnds[e.Seq] = r
 	w.updateHealthLocked(now, r)
-	if alreadyReported && !r.order.Once {
+	if alreadyReported && !r.order.AtMostOnce {
 		// The end was reported as lapsed, so acknowledging it has no effect on the job.
 		r.end.settled = true
 		return
--- a/coordination/worker/run.go
+++ b/coordination/worker/run.go
@@ -97,7 +97,7 @@
 			w.endLostLocked(now, fx, id, r, loss, suspects, "instance_gone")
 			continue
 		}
-		if r.order.Once && !r.end.settled {
+		if r.order.AtMostOnce && !r.end.settled {
 			// The owner has not recorded the end yet; see dropLocked.
 			r.end.seq = 0
 			continue
@@ -132,7 +132,7 @@
 func (w *Worker) dropLocked(fx *Effects, id job.RunID, r *run, kind job.EndKind, reason string) {
 	w.reportEndLocked(fx, r, kind, reason)
 	delete(w.runs, id)
-	if r.order.Once && kind == job.Lapsed && r.phase != waiting {
+	if r.order.AtMostOnce && kind == job.Lapsed && r.phase != waiting {
 		r.phase, r.end = ended, endState{kind: kind}
 		w.runs[id] = r
 	}
--- a/coordination/worker/starts.go
+++ b/coordination/worker/starts.go
@@ -120,7 +120,7 @@
 // must not be repeated would be lost that way, and its job with it, so such tasks get the maximum
 // timeout.
 func (w *Worker) startTimeout(r *run) time.Duration {
-	if r.order.Once {
+	if r.order.AtMostOnce {
 		return maxResponseTimeout
 	}
 	return w.responses.timeout()
--- a/coordination/worker/worker.go
+++ b/coordination/worker/worker.go
@@ -73,9 +73,9 @@
 	// Repeat is set when the owner was told that the run is here already. The order then only tells
 	// the agent the demand and the job of the run, and starts nothing.
 	Repeat bool
-	// Once is set if the run's job forbids to repeat a task. The loss of such a run is kept until
-	// the owner has settled it.
-	Once bool
+	// AtMostOnce is set if the tasks of the run's job must not be repeated. The loss of such a run
+	// is kept until the owner has settled it.
+	AtMostOnce bool
 	// Isolation is set if backend servers were lost under earlier runs of the task.
 	Isolation Isolation
 }
--- a/coordination/worker/worker_test.go
+++ b/coordination/worker/worker_test.go
@@ -705,7 +705,7 @@
 	f.report("i-1", 2, false)
 	for i := range 6 {
 		o := f.order(i)
-		o.Once, o.Estimate, o.Demand.CPUMillis = true, time.Millisecond, 100
+		o.AtMostOnce, o.Estimate, o.Demand.CPUMillis = true, time.Millisecond, 100
 		f.send(o)
 	}
 	for range 20 {
@@ -722,18 +722,18 @@
 func TestLossOfARunThatMayNotBeRepeatedIsKept(t *testing.T) {
 	f := newFixture(t)
 	f.claim(1, 5, 1)
-	once, again := f.order(0), f.order(1)
-	once.Shard, once.Epoch, once.Once = 1, 5, true
+	atMostOnce, again := f.order(0), f.order(1)
+	atMostOnce.Shard, atMostOnce.Epoch, atMostOnce.AtMostOnce = 1, 5, true
 	again.Shard, again.Epoch = 1, 5
-	f.send(once)
+	f.send(atMostOnce)
 	f.send(again)
 	f.report("i-2", 1, false)
 	f.is.Equal(len(f.ended()), 2)
 	got := f.claim(1, 6, 1)
 	f.is.Equal(len(got.Runs), 1)
-	f.is.Equal(got.Runs[0].Run, once.Run)
+	f.is.Equal(got.Runs[0].Run, atMostOnce.Run)
 	f.is.Equal(got.Runs[0].End, job.Lapsed)
-	f.Settled(once.Run, false)
+	f.Settled(atMostOnce.Run, false)
 	f.is.Equal(len(f.claim(1, 7, 1).Runs), 0) // the loss is recorded now
 }
 
--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -43,7 +43,7 @@
 	store    store.Store
 	metrics  *core.Metrics
 	// newBackendClient returns a client for this incarnation of the agent.
-	newBackendClient func(fence int64) BackendClient
+	newBackendClient func(fencingToken int64) BackendClient
 	// member is the name of this incarnation in the owners' group and on links.
 	member string
 	// started is the time of New on the boot clock.
@@ -110,11 +110,11 @@
 }
 
 // New returns an agent that is not running; see Run.
-func New(s *settings.Settings, st store.Store, drains core.DrainSource, newBackendClient func(fence int64) BackendClient) *Agent {
+func New(s *settings.Settings, st store.Store, drains core.DrainSource, newBackendClient func(fencingToken int64) BackendClient) *Agent {
 	a := &Agent{
 		settings: s, store: st, newBackendClient: newBackendClient, metrics: core.NewMetrics(),
 		member: core.MemberName(s.Name, xid.New().String()), started: bootclock.Now(),
-		worker:        worker.New(worker.Bounds{Lease: s.Bounds.Lease, OwnerTimeout: core.OwnerSilenceTimeout, ReconnectTimeout: core.RelinkTimeout, AdoptionTimeout: core.AdoptionTimeout, Shards: s.Shards()}),
+		worker:        worker.New(worker.Bounds{Lease: s.Bounds.Lease, OwnerTimeout: core.OwnerTimeout, ReconnectTimeout: core.ReconnectTimeout, AdoptionTimeout: core.AdoptionTimeout, Shards: s.Shards()}),
 		recentPlacers: newRecentPlacers(),
 		fleet:         owner.NewFleet(s.Bounds.RemoteFactor, owner.DefaultParams()),
 		shards:        make(map[int]*shardRunner),
@@ -124,7 +124,7 @@
 		linkSessions:  make(map[string]int64),
 	}
 	a.offerUpdates, a.firstShard = make(chan struct{}, 1), make(chan struct{})
-	a.drains = core.NewDrainWatch(drains, a.drainsChanged)
+	a.drains = core.NewDrainWatch(drains, a.applyDrains)
 	a.metrics.WatchDrains(a.drains)
 	a.server = peer.NewServer(a)
 	registerWorkerMetrics(a.metrics, a.worker)
--- a/daemon/agent/backend.go
+++ b/daemon/agent/backend.go
@@ -21,9 +21,9 @@
 	// a hold. A lost answer hides ends for that long plus the response timeout. Six
 	// such holds fit into a lease.
 	holdWait = 60 * time.Millisecond
-	// doubtfulWait replaces holdWait while the outcome of a start is unknown. The
+	// unconfirmedStartWait replaces holdWait while the outcome of a start is unknown. The
 	// task waits for the list that contains the run or shows that it is barred.
-	doubtfulWait = 5 * time.Millisecond
+	unconfirmedStartWait = 5 * time.Millisecond
 	// idleWait replaces holdWait while nothing runs, so that no run needs the lease.
 	idleWait = time.Second
 	// knownEndsPause is the pause before a hold while the backend server lists ends
@@ -85,7 +85,7 @@
 	case c.First:
 		wait = 0
 	case c.UnconfirmedStart:
-		wait = doubtfulWait
+		wait = unconfirmedStartWait
 	case c.Idle:
 		wait = idleWait
 	}
--- a/daemon/agent/drains.go
+++ b/daemon/agent/drains.go
@@ -19,10 +19,10 @@
 	drainsReadInterval = time.Second
 )
 
-// drainsChanged applies a change of the drains. While the failure domain of this agent is
+// applyDrains applies a change of the drains. While the failure domain of this agent is
 // drained, nothing is started on its backend server. All linked processes get a frame with the
 // change.
-func (a *Agent) drainsChanged(s drains.State) {
+func (a *Agent) applyDrains(s drains.State) {
 	a.fleet.SetDrained(s)
 	a.links.SetDrained(s)
 	a.apply(a.worker.DrainDomain(bootclock.Now(), s.Has(a.settings.Domain)))
--- a/daemon/agent/notes.go
+++ b/daemon/agent/notes.go
@@ -40,7 +40,8 @@
 
 // notes is what an agent stores for its next incarnation, with its name as the key.
 type notes struct {
-	// Owners are the owners whose orders the agent has received; see worker.Former.
+	// Owners are the owners whose orders the agent has received; see Worker.SetFormerOwners in
+	// coordination/worker.
 	Owners []string `json:"owners"`
 	// Member is the name of the incarnation in the owners' group.
 	Member string `json:"member,omitempty"`
@@ -58,15 +59,15 @@
 	Labels   []string   `json:"labels"`
 	Capacity job.Demand `json:"capacity"`
 	Draining bool       `json:"draining"`
-	// Varies is set once the instance has changed its capacity.
-	Varies bool `json:"varies,omitempty"`
+	// CapacityChanged is set once the instance has changed its capacity.
+	CapacityChanged bool `json:"varies,omitempty"`
 }
 
 // usable reports whether an agent can continue with a stored backend server before its next
-// report. A server whose capacity varies is not usable: the capacity may have shrunk since it was
-// stored, and the runs started by it would not fit.
+// report. A server that has changed its capacity is not usable: the capacity may have shrunk
+// again since it was stored, and runs started according to it would not fit.
 func (s *storedServer) usable() bool {
-	return s != nil && !s.Varies && s.Instance != "" && s.Service != "" && s.Capacity.CPUMillis > 0
+	return s != nil && !s.CapacityChanged && s.Instance != "" && s.Service != "" && s.Capacity.CPUMillis > 0
 }
 
 // incarnationKey returns the key of the record whose offset numbers an incarnation. The record is
--- a/daemon/agent/enrol.go
+++ b/daemon/agent/registration.go
@@ -138,8 +138,8 @@
 	}, h.ClockMS))
 }
 
-func newStoredServer(s worker.Server, varies bool) *storedServer {
-	return &storedServer{Instance: s.Instance, Service: s.Service, Labels: s.Labels, Capacity: s.Capacity, Draining: s.Draining, Varies: varies}
+func newStoredServer(s worker.Server, capacityChanged bool) *storedServer {
+	return &storedServer{Instance: s.Instance, Service: s.Service, Labels: s.Labels, Capacity: s.Capacity, Draining: s.Draining, CapacityChanged: capacityChanged}
 }
 
 // Report handles a report of the backend server.
@@ -185,5 +185,5 @@
 	return true
 }
 
-// Left handles the deregistration of an instance of the backend server.
-func (a *Agent) Left(instance string) { a.apply(a.worker.Deregistered(instance)) }
+// Deregistered handles the deregistration of an instance of the backend server.
+func (a *Agent) Deregistered(instance string) { a.apply(a.worker.Deregistered(instance)) }
--- a/daemon/clients/answer.go
+++ b/daemon/clients/answer.go
@@ -8,9 +8,9 @@
 	"github.com/shallotstep/shallotstep/state/job"
 )
 
-// verdictReasons maps the reasons in verdicts of owners and entries to the reasons
+// responseReasons maps the reasons in responses of owners and entries to the reasons
 // of the HTTP interface.
-var verdictReasons = map[string]state.Reason{
+var responseReasons = map[string]state.Reason{
 	owner.ReasonOverload:         state.ReasonOverload,
 	owner.ReasonNoWorker:         state.ReasonNoBackend,
 	owner.ReasonDomainDrained:    state.ReasonDomainDrained,
@@ -22,7 +22,7 @@
 }
 
 func reasonOf(v owner.Response) state.Reason {
-	if r, ok := verdictReasons[v.Reason]; ok {
+	if r, ok := responseReasons[v.Reason]; ok {
 		return r
 	}
 	return state.ReasonUndocumented
@@ -32,7 +32,7 @@
 	return state.Answer{Key: key, Outcome: state.NotRun, Reason: r, RetryAfter: after}
 }
 
-// failureAnswer returns the answer for a verdict other than OK, which has no job
+// failureAnswer returns the answer for a response other than OK, which has no job
 // state.
 func failureAnswer(key state.JobKey, v owner.Response) state.Answer {
 	switch v.Outcome {
@@ -45,7 +45,7 @@
 	return state.Answer{Key: key, Outcome: state.Unknown, Reason: reasonOf(v), RetryAfter: v.RetryAfter}
 }
 
-// answerOf returns the answer for a verdict about a job.
+// answerOf returns the answer for a response about a job.
 func answerOf(key state.JobKey, v owner.Response) state.Answer {
 	if v.Outcome != owner.OK {
 		return failureAnswer(key, v)
--- a/daemon/clients/clients.go
+++ b/daemon/clients/clients.go
@@ -1,5 +1,5 @@
 // Package clients implements the project's own HTTP interface at an entry. It
-// converts submissions to jobs and verdicts to answers, keeps the operators'
+// converts submissions to jobs and owners' responses to answers, keeps the operators'
 // declarations and drains in the platform's store, and reports the entry's view
 // of the system.
 package clients
--- a/daemon/core/bounds.go
+++ b/daemon/core/bounds.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// OwnerSilenceTimeout is how long an owner may be silent before an agent stops its
+	// OwnerTimeout is how long an owner may be silent before an agent stops its
 	// runs. It exceeds the time to detect a lost link (0.7 s) and to connect again (a backoff
 	// and a dial), so that one silent connection stops no run.
-	OwnerSilenceTimeout = 1300 * time.Millisecond
-	// RelinkTimeout is how long an owner may take to reconnect after its link has ended. It
+	OwnerTimeout = 1300 * time.Millisecond
+	// ReconnectTimeout is how long an owner may take to reconnect after its link has ended. It
 	// dials again within 0.3 s. Clients of a killed entry resubmit their jobs after 1.3 s.
-	RelinkTimeout = 700 * time.Millisecond
+	ReconnectTimeout = 700 * time.Millisecond
 	// AdoptionTimeout is how long a run of an earlier incarnation of the agent may wait for
 	// its owner to claim it. The owner dials a lost link again within 0.3 s.
 	AdoptionTimeout = 400 * time.Millisecond
@@ -48,7 +48,7 @@
 // OwnerBounds returns the time limits of an owner. They hold for recorded jobs and for the
 // best-effort jobs of an entry.
 func OwnerBounds(s *settings.Settings) owner.Bounds {
-	lostLinkTimeout := OwnerSilenceTimeout + s.Bounds.Lease + leaseSlack
+	lostLinkTimeout := OwnerTimeout + s.Bounds.Lease + leaseSlack
 	return owner.Bounds{
 		LostLinkTimeout: lostLinkTimeout,
 		TakeoverTimeout: lostLinkTimeout + RenewLimit,
--- a/daemon/dev/agent.go
+++ b/daemon/dev/agent.go
@@ -58,8 +58,8 @@
 
 // Start runs the agent until Kill.
 func (a *Agent) Start() {
-	running := agent.New(a.settings, platform.NewStore(a.settings.Store.Address), a.drains, func(fence int64) agent.BackendClient {
-		return platform.NewBackendClient(a.settings.Server.Address, fence)
+	running := agent.New(a.settings, platform.NewStore(a.settings.Store.Address), a.drains, func(fencingToken int64) agent.BackendClient {
+		return platform.NewBackendClient(a.settings.Server.Address, fencingToken)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/daemon/dev/dev.go
+++ b/daemon/dev/dev.go
@@ -57,13 +57,13 @@
 
 // System is a whole system in one process.
 type System struct {
-	opts      Options
-	store     *standin.Store
-	ledger    *standin.Ledger
-	executors []*standin.BackendServer
-	agents    []*Agent
-	entries   []*Entry
-	done      conc.WaitGroup
+	opts           Options
+	store          *standin.Store
+	ledger         *standin.Ledger
+	backendServers []*standin.BackendServer
+	agents         []*Agent
+	entries        []*Entry
+	done           conc.WaitGroup
 }
 
 // Start starts the system and applies the example declaration. It returns once the
@@ -111,11 +111,11 @@
 // startWorker starts a backend server and its agent in a failure domain.
 func (s *System) startWorker(domain string) error {
 	server := standin.BackendServerConfig{Instance: "server-" + domain, Service: exampleService(), Labels: []string{}, CPUMillis: coresPerServer * 1000, MemoryMB: memoryMBPerServer}
-	executor, err := standin.NewBackendServer(server, s.ledger)
+	backendServer, err := standin.NewBackendServer(server, s.ledger)
 	if err != nil {
 		return err
 	}
-	s.executors = append(s.executors, executor)
+	s.backendServers = append(s.backendServers, backendServer)
 	set, err := s.settings(settings.RoleAgent, "agent-"+domain, domain)
 	if err != nil {
 		return err
@@ -128,7 +128,7 @@
 	if err := links.Close(); err != nil {
 		return errors.Wrap(err, "close the listener that reserves the port for links")
 	}
-	set.Server.Address = executor.Addr()
+	set.Server.Address = backendServer.Addr()
 	reports, err := loopback()
 	if err != nil {
 		return err
@@ -137,7 +137,7 @@
 	a := NewAgent(set, drains.Source(), reports, func(err error) { klog.ErrorS(err, "An agent failed", "name", set.Name) })
 	s.agents = append(s.agents, a)
 	a.Start()
-	executor.ReportTo(a.reports.Addr().String())
+	backendServer.ReportTo(a.reports.Addr().String())
 	return nil
 }
 
@@ -194,14 +194,14 @@
 // Agents returns the agents, one per failure domain.
 func (s *System) Agents() []*Agent { return s.agents }
 
-// Executors returns the stand-in backend servers.
-func (s *System) Executors() []*standin.BackendServer { return s.executors }
+// BackendServers returns the stand-in backend servers.
+func (s *System) BackendServers() []*standin.BackendServer { return s.backendServers }
 
 // Backends returns the addresses of the stand-in backend servers.
 func (s *System) Backends() []string {
-	out := make([]string, len(s.executors))
-	for i, e := range s.executors {
-		out[i] = e.Addr()
+	out := make([]string, len(s.backendServers))
+	for i, b := range s.backendServers {
+		out[i] = b.Addr()
 	}
 	return out
 }
@@ -228,8 +228,8 @@
 		a.Kill()
 		_ = a.reports.Close()
 	}
-	for _, e := range s.executors {
-		e.Close()
+	for _, b := range s.backendServers {
+		b.Close()
 	}
 	s.store.Close()
 	s.done.Wait()
--- a/daemon/dev/drain_test.go
+++ b/daemon/dev/drain_test.go
@@ -30,12 +30,12 @@
 	again, f := d.client.SetDrain(d.ctx(), "iksan", true)
 	d.is.True(f == nil)
 	d.is.Equal(again.Version, state.Version(1)) // draining again changes nothing
-	before := d.Executors()[1].Starts()
+	before := d.BackendServers()[1].Starts()
 	for i := range 5 {
 		_, f := d.client.SubmitSettled(d.ctx(), d.job(fmt.Sprint("drained-", i), 30, 5, ""), 100)
 		d.is.True(f == nil)
 	}
-	d.is.Equal(d.Executors()[1].Starts(), before)
+	d.is.Equal(d.BackendServers()[1].Starts(), before)
 	_, f = d.client.SetDrain(d.ctx(), "iksan", false)
 	d.is.True(f == nil)
 	d.awaitDrained()
@@ -43,7 +43,7 @@
 	d.await("the domain is used again", func() bool {
 		tries++
 		_, f := d.client.SubmitSettled(d.ctx(), d.job(fmt.Sprint("back-", tries), 40, 5, ""), 100)
-		return f == nil && d.Executors()[1].Starts() > before
+		return f == nil && d.BackendServers()[1].Starts() > before
 	})
 	h, f := d.client.DrainHistory(d.ctx(), "iksan")
 	d.is.True(f == nil)
--- a/daemon/dev/system_test.go
+++ b/daemon/dev/system_test.go
@@ -314,7 +314,7 @@
 // at another backend server.
 func TestBackendServerLost(t *testing.T) {
 	d := newTestSystem(t)
-	lost := d.Executors()[0]
+	lost := d.BackendServers()[0]
 	before := lost.Starts()
 	waiting := d.submitAsync(d.client, d.job("never", 24, 2500, ""))
 	d.await("the backend server has work", func() bool { return lost.Starts() > before })
@@ -507,11 +507,11 @@
 		"services":[{"name":"bench-desk","region":"jeonbuk","placement":{"domains":["iksan"]}}]}`))
 	d.is.True(f == nil)
 	before := make([]int, len(domains))
-	for i, e := range d.Executors() {
-		before[i] = e.Starts()
+	for i, b := range d.BackendServers() {
+		before[i] = b.Starts()
 	}
 	d.checkComplete(<-d.submitAsync(d.client, d.job("there", 20, 5, "")), 20)
-	for i, e := range d.Executors() {
-		d.is.Equal(e.Starts() > before[i], domains[i] == "iksan")
+	for i, b := range d.BackendServers() {
+		d.is.Equal(b.Starts() > before[i], domains[i] == "iksan")
 	}
 }
--- a/daemon/entry/best_effort.go
+++ b/daemon/entry/best_effort.go
@@ -49,22 +49,22 @@
 	e.linkCapableAgents(ctx, spec, p)
 	specWithTimeout := *spec
 	specWithTimeout.ClientTimeout = clientTimeout(ctx, time.Now())
-	verdicts := make(chan owner.Response, 1)
+	responses := make(chan owner.Response, 1)
 	e.bestEffort.Step(func(now time.Duration) owner.Effects {
 		return e.bestEffort.Submit(now, id, specWithTimeout, *p, func(v owner.Response) {
 			select {
-			case verdicts <- v:
+			case responses <- v:
 			default:
 			}
 		})
 	})
 	select {
-	case v := <-verdicts:
+	case v := <-responses:
 		return v
 	case <-ctx.Done():
 		e.bestEffort.Step(func(now time.Duration) owner.Effects { return e.bestEffort.Abandon(now, id) })
 		klog.V(1).InfoS("The client of a best-effort job no longer waits", "id", id, "why", context.Cause(ctx))
-		return timeLimitVerdict()
+		return timeLimitResponse()
 	}
 }
 
--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -102,7 +102,7 @@
 func (a *fakeAgent) useWorker() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.worker = worker.New(worker.Bounds{Lease: time.Second, OwnerTimeout: core.OwnerSilenceTimeout, ReconnectTimeout: core.RelinkTimeout, AdoptionTimeout: core.AdoptionTimeout, Shards: coretest.Shards})
+	a.worker = worker.New(worker.Bounds{Lease: time.Second, OwnerTimeout: core.OwnerTimeout, ReconnectTimeout: core.ReconnectTimeout, AdoptionTimeout: core.AdoptionTimeout, Shards: coretest.Shards})
 }
 
 // breakLink ends the link on which the next frame arrives.
@@ -142,7 +142,7 @@
 	a.links++
 }
 
-// notOwner is the verdict on requests for shards, of which the agent owns none.
+// notOwner is the response to requests for shards, of which the agent owns none.
 var notOwner = owner.Response{Outcome: owner.NotOwner, Reason: owner.ReasonOwnerChanged}
 
 func (a *fakeAgent) Submit(_ int, _ job.ID, _ job.Spec, _ job.Policy, reply func(owner.Response)) {
--- a/daemon/entry/requests.go
+++ b/daemon/entry/requests.go
@@ -27,14 +27,14 @@
 		node, client := e.findOwner(ctx, shard)
 		if client == nil {
 			if time.Since(searchStart) > searchTimeout || ctx.Err() != nil {
-				return noOwnerVerdict(sent)
+				return noOwnerResponse(sent)
 			}
 			_ = pause.For(ctx, ownerPollInterval)
 			continue
 		}
 		p, err := call(ctx, client)
 		if err == nil {
-			v := wire.VerdictFromWire(p)
+			v := wire.ResponseFromWire(p)
 			if v.Outcome != owner.NotOwner && v.Outcome != owner.Unknown {
 				return v
 			}
@@ -46,7 +46,7 @@
 			continue
 		}
 		if ctx.Err() != nil {
-			return timeLimitVerdict()
+			return timeLimitResponse()
 		}
 		code := status.Code(err)
 		e.metrics.Retries.WithLabelValues("link_" + code.String()).Inc()
@@ -57,15 +57,15 @@
 	}
 }
 
-// timeLimitVerdict returns the verdict for a request whose time limit has passed. The job
+// timeLimitResponse returns the response to a request whose time limit has passed. The job
 // may have been accepted.
-func timeLimitVerdict() owner.Response {
+func timeLimitResponse() owner.Response {
 	return owner.Response{Outcome: owner.Unknown, Reason: owner.ReasonTimeLimit, RetryAfter: time.Second}
 }
 
-// noOwnerVerdict returns the verdict for a request that no owner has answered. It is a
+// noOwnerResponse returns the response to a request that no owner has answered. It is a
 // refusal unless an owner may have accepted the request.
-func noOwnerVerdict(sent bool) owner.Response {
+func noOwnerResponse(sent bool) owner.Response {
 	if sent {
 		return owner.Response{Outcome: owner.Unknown, Reason: owner.ReasonOwnerLost, RetryAfter: time.Second}
 	}
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -149,8 +149,8 @@
 }
 
 func runAgent(ctx context.Context, cancel context.CancelFunc, s *settings.Settings, stop <-chan os.Signal) error {
-	a := agent.New(s, platform.NewStore(s.Store.Address), operatorDrains, func(fence int64) agent.BackendClient {
-		return platform.NewBackendClient(s.Server.Address, fence)
+	a := agent.New(s, platform.NewStore(s.Store.Address), operatorDrains, func(fencingToken int64) agent.BackendClient {
+		return platform.NewBackendClient(s.Server.Address, fencingToken)
 	})
 	if _, err := serveHTTP(s.Listen.Reports, platform.NewReportHandler(a)); err != nil {
 		return err
--- a/protocol/core/messages.go
+++ b/protocol/core/messages.go
@@ -32,7 +32,7 @@
 		Payload: o.Payload, Service: o.Service, Label: o.Label,
 		CpuMillis: o.Demand.CPUMillis, MemoryMb: o.Demand.MemoryMB, Gpus: o.Demand.GPUs,
 		EstimateUs: o.Estimate.Microseconds(), DueUs: (o.Due - now).Microseconds(),
-		Once: o.Once, Repeat: o.Repeat, Checkpoint: o.Checkpoint, MaxPerWorker: int32(o.MaxPerWorker), Caution: int32(o.Isolation),
+		Once: o.AtMostOnce, Repeat: o.Repeat, Checkpoint: o.Checkpoint, MaxPerWorker: int32(o.MaxPerWorker), Caution: int32(o.Isolation),
 	}
 }
 
@@ -41,10 +41,10 @@
 	return worker.Order{
 		Shard: int(p.GetShard()), Epoch: p.GetEpoch(), Session: p.GetSession(), Run: RunFromWire(p.GetRun()),
 		Payload: p.GetPayload(), Service: p.GetService(), Label: p.GetLabel(),
-		Demand:   job.Demand{CPUMillis: p.GetCpuMillis(), MemoryMB: p.GetMemoryMb(), GPUs: p.GetGpus()},
-		Estimate: time.Duration(p.GetEstimateUs()) * time.Microsecond,
-		Due:      now + time.Duration(p.GetDueUs())*time.Microsecond,
-		Once:     p.GetOnce(), Repeat: p.GetRepeat(), Checkpoint: p.GetCheckpoint(), MaxPerWorker: int(p.GetMaxPerWorker()),
+		Demand:     job.Demand{CPUMillis: p.GetCpuMillis(), MemoryMB: p.GetMemoryMb(), GPUs: p.GetGpus()},
+		Estimate:   time.Duration(p.GetEstimateUs()) * time.Microsecond,
+		Due:        now + time.Duration(p.GetDueUs())*time.Microsecond,
+		AtMostOnce: p.GetOnce(), Repeat: p.GetRepeat(), Checkpoint: p.GetCheckpoint(), MaxPerWorker: int(p.GetMaxPerWorker()),
 		Isolation: worker.Isolation(p.GetCaution()),
 	}
 }
@@ -148,17 +148,17 @@
 	return s, time.Duration(p.GetAgeMs()) * time.Millisecond
 }
 
-// VerdictToWire returns the wire form of a verdict.
-func VerdictToWire(v owner.Response) *corepb.Verdict {
+// ResponseToWire returns the wire form of an owner's response.
+func ResponseToWire(r owner.Response) *corepb.Verdict {
 	return &corepb.Verdict{
-		Outcome: int32(v.Outcome), Reason: v.Reason, State: int32(v.State),
-		RetryAfterMs: v.RetryAfter.Milliseconds(), Count: int64(v.Count), Known: v.Known,
-		Tasks: tasksToWire(v.Tasks), Failure: v.Failure, ElapsedMs: v.Elapsed.Milliseconds(),
+		Outcome: int32(r.Outcome), Reason: r.Reason, State: int32(r.State),
+		RetryAfterMs: r.RetryAfter.Milliseconds(), Count: int64(r.Count), Known: r.Known,
+		Tasks: tasksToWire(r.Tasks), Failure: r.Failure, ElapsedMs: r.Elapsed.Milliseconds(),
 	}
 }
 
-// VerdictFromWire is the inverse of VerdictToWire.
-func VerdictFromWire(p *corepb.Verdict) owner.Response {
+// ResponseFromWire is the inverse of ResponseToWire.
+func ResponseFromWire(p *corepb.Verdict) owner.Response {
 	return owner.Response{
 		Outcome: owner.Outcome(p.GetOutcome()), Reason: p.GetReason(), State: job.State(p.GetState()),
 		RetryAfter: time.Duration(p.GetRetryAfterMs()) * time.Millisecond, Count: int(p.GetCount()), Known: p.GetKnown(),
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -130,7 +130,7 @@
 	})
 	select {
 	case v := <-got:
-		return core.VerdictToWire(v), nil
+		return core.ResponseToWire(v), nil
 	case <-ctx.Done():
 		return nil, status.FromContextError(ctx.Err()).Err()
 	}
@@ -145,7 +145,7 @@
 
 // Lookup implements corepb.CoreServer.
 func (s *Server) Lookup(_ context.Context, p *corepb.Question) (*corepb.Verdict, error) {
-	return core.VerdictToWire(s.handler.Lookup(int(p.GetShard()), job.ID(p.GetId()))), nil
+	return core.ResponseToWire(s.handler.Lookup(int(p.GetShard()), job.ID(p.GetId()))), nil
 }
 
 // Cancel implements corepb.CoreServer.
@@ -157,7 +157,7 @@
 
 // Pending implements corepb.CoreServer.
 func (s *Server) Pending(_ context.Context, p *corepb.Question) (*corepb.Verdict, error) {
-	return core.VerdictToWire(s.handler.Pending(p.GetQueue())), nil
+	return core.ResponseToWire(s.handler.Pending(p.GetQueue())), nil
 }
 
 // Await implements corepb.CoreServer.
