--- a/coordination/model/owner_test.go
+++ b/coordination/model/owner_test.go
@@ -208,7 +208,7 @@
 }
 
 func (o *ownerModel) apply(fx owner.Effects) {
-	for _, node := range fx.Relinks {
+	for _, node := range fx.Reconnects {
 		for _, a := range o.w.agents {
 			if a.name == node {
 				o.cutLink(a, 50*time.Millisecond)
--- a/coordination/owner/admission_test.go
+++ b/coordination/owner/admission_test.go
@@ -265,7 +265,7 @@
 }
 
 // Some waiting tasks leave, and filtering stops before the end. The others keep their order.
-func TestBacklogKeepsWhatStays(t *testing.T) {
+func TestFilterKeepsTheOrderOfTheOthers(t *testing.T) {
 	is := is.New(t)
 	var b backlog
 	for i := range 6 {
@@ -361,7 +361,7 @@
 // ends every 58 ms, so that together they free capacity every 2 ms. A prediction from the
 // turnover of a single worker refused the job, although its tasks go to whichever worker frees
 // capacity first.
-func TestWideJobIsJudgedByTheTurnoverOfAll(t *testing.T) {
+func TestWideJobIsPredictedByTheTurnoverOfAll(t *testing.T) {
 	is := is.New(t)
 	const turnover = 58 * time.Millisecond
 	f := NewFleet(1, DefaultParams())
--- a/coordination/owner/bench_test.go
+++ b/coordination/owner/bench_test.go
@@ -41,7 +41,7 @@
 // more than its processor could do. It fell behind its frames, and more jobs waited, were
 // refused or ended late, beside entries with none waiting, and it did not recover. A frame must
 // cost one look at the agents, however many tasks wait for the same kind of place.
-func TestNewsCostsTheSameHoweverManyWait(t *testing.T) {
+func TestFrameCostIsIndependentOfWaitingTasks(t *testing.T) {
 	is := is.New(t)
 	const agents = 38
 	s, f, now := fullFleet(agents, 100)
--- a/coordination/owner/link.go
+++ b/coordination/owner/link.go
@@ -44,7 +44,7 @@
 		}
 		l.claimSentAt = now
 		fx.log(Decision{Kind: "claim_unanswered", Node: node})
-		fx.Relinks = append(fx.Relinks, node)
+		fx.Reconnects = append(fx.Reconnects, node)
 	}
 }
 
@@ -106,7 +106,7 @@
 		return
 	}
 	fx.log(Decision{Kind: "claim_refused", Node: node, Reason: "newer_link"})
-	fx.Relinks = append(fx.Relinks, node)
+	fx.Reconnects = append(fx.Reconnects, node)
 }
 
 func (s *Shard) stopRunLocked(fx *Effects, node string, run job.RunID) {
--- a/coordination/owner/owner.go
+++ b/coordination/owner/owner.go
@@ -41,10 +41,10 @@
 	Orders  []Addressed[worker.Order]
 	Stops   []Addressed[job.RunID]
 	Settled []Addressed[Settlement]
-	// Relinks has the agents whose links have to be replaced by new ones.
-	Relinks []string
-	Replies []Reply
-	Log     []Decision
+	// Reconnects has the agents whose links have to be replaced by new ones.
+	Reconnects []string
+	Replies    []Reply
+	Log        []Decision
 	// Write is set when there are records to write to the store.
 	Write bool
 }
--- a/coordination/owner/owner_test.go
+++ b/coordination/owner/owner_test.go
@@ -310,7 +310,7 @@
 
 // Another owner has taken over. Waiting callers are told that the outcome is unknown; a retry
 // gets the answer from the new owner.
-func TestFencedOwnerLeavesItsAnswersOpen(t *testing.T) {
+func TestFencedOwnerAnswersUnknown(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	got := f.submit(testID, steps(1))
 	f.collect(f.Close())
--- a/coordination/owner/takeover_test.go
+++ b/coordination/owner/takeover_test.go
@@ -92,7 +92,7 @@
 // A task is done, its record is still pending, and the agent reconnects and reports the end
 // again. The end must not be settled before the record is written: if the owner is lost in
 // between, the next one runs the task again although its end was acknowledged.
-func TestEndNamedAgainIsSettledWithItsRecord(t *testing.T) {
+func TestRepeatedEndIsSettledWithItsRecord(t *testing.T) {
 	f := newFixture(t, nil, nil, "a")
 	f.submit(testID, steps(2))
 	f.write()
@@ -146,7 +146,7 @@
 	claim, _, fx := f.Linked(f.now, "a", 1)
 	f.collect(fx)
 	refusal := f.Claimed(f.now, "a", worker.Claimed{Claim: claim, Refused: true, KnownEpoch: f.Epoch})
-	f.is.Equal(refusal.Relinks, []string{"a"})
+	f.is.Equal(refusal.Reconnects, []string{"a"})
 	f.is.True(!f.Closed())
 	f.is.Equal(f.ReachableAgents(), 0)
 
@@ -193,8 +193,8 @@
 	_, _, fx := f.Linked(f.now, "a", 1)
 	f.collect(fx)
 	f.now += claimTimeout - time.Millisecond
-	f.is.Equal(len(f.Tick(f.now).Relinks), 0)
+	f.is.Equal(len(f.Tick(f.now).Reconnects), 0)
 	f.now += time.Millisecond
-	f.is.Equal(f.Tick(f.now).Relinks, []string{"a"})
-	f.is.Equal(len(f.Tick(f.now).Relinks), 0)
+	f.is.Equal(f.Tick(f.now).Reconnects, []string{"a"})
+	f.is.Equal(len(f.Tick(f.now).Reconnects), 0)
 }
--- a/coordination/worker/capacity_test.go
+++ b/coordination/worker/capacity_test.go
@@ -116,7 +116,7 @@
 
 // The capacity shrinks while one run is being stopped and another one's start is unanswered.
 // Both keep their share, since the server may still run them.
-func TestStopsAndDoubtfulStartsKeepTheirCapacity(t *testing.T) {
+func TestStopsAndUnconfirmedStartsKeepTheirCapacity(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
 	f.collect(f.Stop(f.now, bestEffortShard, 1, f.order(0).Run))
--- a/coordination/worker/drain_test.go
+++ b/coordination/worker/drain_test.go
@@ -48,7 +48,7 @@
 
 // A start that got no answer must not be sent again once the domain is drained. Only the
 // server's list of runs or a stop that bars the run settles it.
-func TestDoubtfulStartInADrainedDomain(t *testing.T) {
+func TestUnconfirmedStartInADrainedDomain(t *testing.T) {
 	f := newFixture(t)
 	o := f.order(0)
 	fx := f.Order(f.now, o)
--- a/coordination/worker/former_test.go
+++ b/coordination/worker/former_owners_test.go
@@ -37,7 +37,7 @@
 
 // One of two entries did not restart while the agent did. The run goes on until the adoption
 // time is over.
-func TestRunMayBeOfAnEntryThatLives(t *testing.T) {
+func TestRunMayBelongToALiveEntry(t *testing.T) {
 	f, _ := newFixtureWithFormerRun(t)
 	f.claimAs("entry-1/new", bestEffortShard+1)
 	f.claimAs("entry-2/old", bestEffortShard+2)
--- a/coordination/worker/worker_test.go
+++ b/coordination/worker/worker_test.go
@@ -255,7 +255,7 @@
 
 // The backend server does not answer. Orders that have not been sent to it are returned at once
 // and no more are accepted, since their jobs would wait for the lease to expire.
-func TestSilentServerGivesWaitingOrdersBack(t *testing.T) {
+func TestUnresponsiveServerReturnsWaitingOrders(t *testing.T) {
 	f := newFixture(t)
 	for i := range 3 {
 		f.send(f.order(i))
@@ -309,7 +309,7 @@
 
 // On a busy host the ends of very short tasks are noticed late. That delay must not count as a
 // slowdown of the server.
-func TestLateNoticeOfShortTasksIsNoSlowness(t *testing.T) {
+func TestLateDetectionOfShortTasksIsNoSlowdown(t *testing.T) {
 	f := newFixture(t)
 	for i := range 8 {
 		o := f.order(i)
@@ -561,7 +561,7 @@
 
 // The end of a recorded job's run waits for the job's record. While the backend server lists
 // that end, holds return at once without news, and the call tells the driver so.
-func TestHoldTellsOfEndsThatWaitForTheirRecord(t *testing.T) {
+func TestHoldReportsEndsThatWaitForTheirRecord(t *testing.T) {
 	f := newFixture(t)
 	f.claim(recordedShard, 1, 1)
 	o := f.order(0)
@@ -639,7 +639,7 @@
 
 // The agent stops as planned. Waiting orders are returned and no new ones are accepted, not
 // even after the backend server's next report. Running tasks go on to their end.
-func TestStoppingAgentTakesNothingNew(t *testing.T) {
+func TestDrainingAgentAcceptsNoOrders(t *testing.T) {
 	f := newFixture(t)
 	for i := range 3 {
 		f.send(f.order(i))
--- a/daemon/agent/requests.go
+++ b/daemon/agent/requests.go
@@ -24,7 +24,7 @@
 		return
 	}
 	if now := bootclock.Now(); a.links.RecordNeed(now, &spec, &p) && a.links.IsOpen() {
-		a.linkWaitUntil.Set(now + core.LinkWaitTimeout)
+		a.linkWaitUntil.Set(now + core.NeedLinksTimeout)
 		a.links.Reconcile(now)
 	}
 	a.awaitLinks(r)
@@ -32,10 +32,10 @@
 }
 
 const (
-	// linkWaitTimeout bounds the wait for links when an owner gets its first job. A
+	// firstLinksTimeout bounds the wait for links when an owner gets its first job. A
 	// dial, a claim and the record of the claimed agents take 50 ms, on a slow host
 	// 200 ms.
-	linkWaitTimeout = 400 * time.Millisecond
+	firstLinksTimeout = 400 * time.Millisecond
 	// linkPollInterval is the interval at which a waiting job checks the links.
 	linkPollInterval = 5 * time.Millisecond
 )
@@ -47,7 +47,7 @@
 func (a *Agent) awaitLinks(r *shardRunner) {
 	if !a.links.IsOpen() {
 		klog.InfoS("Linking the agents for the first job of an owner", "shard", r.ID)
-		a.linkWaitUntil.Set(bootclock.Now() + linkWaitTimeout)
+		a.linkWaitUntil.Set(bootclock.Now() + firstLinksTimeout)
 		a.links.Open()
 	}
 	for bootclock.Now() < a.linkWaitUntil.Get() {
--- a/daemon/core/shard_driver.go
+++ b/daemon/core/shard_driver.go
@@ -55,7 +55,7 @@
 		settled := &corepb.Settled{Shard: int32(r.ID), Run: wire.RunToWire(s.Value.Run), Void: s.Value.Void}
 		r.sendSettled(s.Node, settled)
 	}
-	for _, node := range fx.Relinks {
+	for _, node := range fx.Reconnects {
 		r.links.renew(node)
 	}
 	for _, reply := range fx.Replies {
--- a/daemon/entry/best_effort.go
+++ b/daemon/entry/best_effort.go
@@ -80,7 +80,7 @@
 		return
 	}
 	e.links.Reconcile(now)
-	for end := now + core.LinkWaitTimeout; !(e.links.AllWantedUp() && e.hasCapableAgents(spec, p)) && bootclock.Now() < end && ctx.Err() == nil; {
+	for end := now + core.NeedLinksTimeout; !(e.links.AllWantedUp() && e.hasCapableAgents(spec, p)) && bootclock.Now() < end && ctx.Err() == nil; {
 		_ = pause.For(ctx, linkPollInterval)
 	}
 }
--- a/daemon/entry/relink_test.go
+++ b/daemon/entry/reconnect_test.go
@@ -46,7 +46,7 @@
 
 // An entry has links, but no agent has answered a claim on any of them, so it refuses every
 // job. It must not report ready, because other entries could serve its clients.
-func TestEntryThatReachesNobodyIsNotReady(t *testing.T) {
+func TestEntryWithoutAnsweredClaimsIsNotReady(t *testing.T) {
 	is := is.New(t)
 	a := startFakeAgent(t)
 	a.silent = true
