--- a/coordination/model/owner_test.go
+++ b/coordination/model/owner_test.go
@@ -169,7 +169,7 @@
 	})
 	if w.chance(0.7) {
 		w.after(w.upTo(700*time.Millisecond), func() {
-			l.agent.run(func() { l.agent.worker.Unlinked(w.now, l.owner.name) })
+			l.agent.run(func() { l.agent.worker.LinkLost(w.now, l.owner.name) })
 		})
 	}
 }
--- a/coordination/owner/submit.go
+++ b/coordination/owner/submit.go
@@ -76,10 +76,10 @@
 	return fx
 }
 
-func (s *Shard) resubmitLocked(now time.Duration, fx *Effects, j *jobState, tell func(Response)) {
+func (s *Shard) resubmitLocked(now time.Duration, fx *Effects, j *jobState, to func(Response)) {
 	reply := func(v Response) {
 		v.Known = true
-		tell(v)
+		to(v)
 	}
 	bestEffort := j.rec.Spec.BestEffort
 	if bestEffort && j.reportedState == job.Cancelled {
--- a/coordination/worker/capacity_test.go
+++ b/coordination/worker/capacity_test.go
@@ -40,14 +40,14 @@
 	urgent.Due = f.now + 150*time.Millisecond
 	f.is.Equal(len(f.send(urgent).Starts), 0)
 	f.is.Equal(f.ended()[0].Reason, ReasonNoRoom) // returned
-	patient := f.order(3)
-	f.is.Equal(len(f.send(patient).Starts), 0)
+	withSlack := f.order(3)
+	f.is.Equal(len(f.send(withSlack).Starts), 0)
 	f.endRun(f.order(0).Run, job.Done)
 	f.hold()
 	f.is.Equal(len(f.active), 1) // the other run still takes the whole capacity
 	f.endRun(f.order(1).Run, job.Done)
 	f.hold()
-	f.is.Equal(f.active, map[job.RunID]bool{patient.Run: true})
+	f.is.Equal(f.active, map[job.RunID]bool{withSlack.Run: true})
 }
 
 // Orders wait at an agent when its server shrinks. One needs more than the server has now,
--- a/coordination/worker/claims.go
+++ b/coordination/worker/claims.go
@@ -95,10 +95,10 @@
 	}
 }
 
-// Unlinked notes that an owner's link has ended. A live owner reconnects at once. The time allowed
+// LinkLost notes that an owner's link has ended. A live owner reconnects at once. The time allowed
 // for that is shorter than the timeout of a silent owner, because the client of a dead owner
 // resubmits its job to another one.
-func (w *Worker) Unlinked(now time.Duration, owner string) {
+func (w *Worker) LinkLost(now time.Duration, owner string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, s := range w.shards {
--- a/coordination/worker/worker_test.go
+++ b/coordination/worker/worker_test.go
@@ -172,9 +172,9 @@
 	f.is.Equal(len(fx.Events), 1)
 	f.is.Equal(fx.Events[0].State.End, job.NeverRan)
 	f.is.Equal(fx.Events[0].State.Reason, ReasonNoRoom)
-	patient := f.order(3)
-	patient.Due = f.now + patient.Estimate + time.Minute
-	f.is.Equal(len(f.send(patient).Events), 0)
+	withSlack := f.order(3)
+	withSlack.Due = f.now + withSlack.Estimate + time.Minute
+	f.is.Equal(len(f.send(withSlack).Events), 0)
 	f.is.Equal(f.Load(f.now).Waiting, 1)
 }
 
@@ -434,7 +434,7 @@
 func TestRunsOfALostLinkAreStoppedSooner(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
-	f.Unlinked(f.now, "owner-"+strconv.Itoa(bestEffortShard))
+	f.LinkLost(f.now, "owner-"+strconv.Itoa(bestEffortShard))
 	for range 5 {
 		f.advance(100 * time.Millisecond)
 		f.hold()
--- a/daemon/agent/serve.go
+++ b/daemon/agent/serve.go
@@ -32,7 +32,7 @@
 
 // CallerGone implements peer.AgentHandler.
 func (a *Agent) CallerGone(c *peer.Caller) {
-	a.worker.Unlinked(bootclock.Now(), c.Node)
+	a.worker.LinkLost(bootclock.Now(), c.Node)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.callerStates, c)
