--- a/coordination/owner/bench_test.go
+++ b/coordination/owner/bench_test.go
@@ -37,10 +37,10 @@
 }
 
 // A burst fills all agents, and a hundred jobs of an entry wait. Some hundred times a second,
-// each frame of each agent made the entry look for a place for every waiting task, which was
-// more than its processor could do. It fell behind its frames, and more jobs waited, were
-// refused or ended late, beside entries with none waiting, and it did not recover. A frame must
-// cost one look at the agents, however many tasks wait for the same kind of place.
+// each frame of each agent made the entry try to place every waiting task, which was more than
+// its processor could do. It fell behind its frames, and more jobs waited, were refused or ended
+// late, beside entries with none waiting, and it did not recover. A frame must cost one pass over
+// the agents, however many tasks with the same placement key wait.
 func TestFrameCostIsIndependentOfWaitingTasks(t *testing.T) {
 	is := is.New(t)
 	const agents = 38
--- a/coordination/owner/crash_test.go
+++ b/coordination/owner/crash_test.go
@@ -148,7 +148,8 @@
 }
 
 // A rack is lost, and with it the second server under a task that ran alone there. Other
-// servers were lost at the same moment, so the task is not blamed and is tried once more.
+// servers were lost at the same moment, so the task is not taken for the cause of the loss and is
+// tried once more.
 func TestRackThatIsLostGivesUpNoTask(t *testing.T) {
 	f := newCrashFixture(t)
 	f.reportLoss(f.submitSingle(), 4, worker.LossConfirmed)
@@ -213,8 +214,8 @@
 	f.is.Equal(f.lastOrder().Value.Isolation, worker.NoIsolation)
 }
 
-// One task of a wide job crashes its servers. The other tasks go on as long as it may be
-// innocent. Once it is given up, their runs are stopped.
+// One task of a wide job crashes its servers. The other tasks go on as long as it is not certain
+// that this task is the cause. Once it is given up, their runs are stopped.
 func TestOthersOfAWideJobGoOnUntilItIsCertain(t *testing.T) {
 	is := is.New(t)
 	f := newCrashFixture(t)
--- a/coordination/owner/fleet.go
+++ b/coordination/owner/fleet.go
@@ -109,7 +109,7 @@
 	pending   []pendingOrder
 	// retired agents get no new work.
 	retired bool
-	// drained is set while the agent's failure domain is drained, by what this process knows.
+	// drained is set while this process knows that the agent's failure domain is drained.
 	drained bool
 }
 
--- a/coordination/owner/lost_agents.go
+++ b/coordination/owner/lost_agents.go
@@ -32,7 +32,7 @@
 // passed: the runs there were stopped or have lost their leases.
 //
 // Only an owner that the group has confirmed may do so. The next owner may have claimed the runs
-// that this one waits for and keep them at work. If this owner started their tasks again, at an
+// that this one waits for and keep them active. If this owner started their tasks again, at an
 // agent that the next one can't reach, they would run twice.
 func (s *Shard) expireLostAgentsLocked(now time.Duration, fx *Effects) {
 	if s.ownershipUnconfirmed {
--- a/coordination/owner/owner.go
+++ b/coordination/owner/owner.go
@@ -17,8 +17,8 @@
 
 // Bounds are time limits given by the platform and the settings.
 type Bounds struct {
-	// LostLinkTimeout is how long after the loss of a link the runs behind it may still be at work:
-	// the agent's limit on a silent owner, the longest lease, and a margin.
+	// LostLinkTimeout is how long after the loss of a link the runs behind it may still be active:
+	// the agent's owner timeout, the longest lease, and a margin.
 	LostLinkTimeout time.Duration
 	// TakeoverTimeout is the same for an agent that this owner has never reached. An earlier owner
 	// may have renewed the runs there for some time after the takeover.
@@ -62,7 +62,7 @@
 	Void bool
 }
 
-// Decision is an event in the life of a job, to be logged and counted by Kind.
+// Decision is an event in the course of a job, to be logged and counted by Kind.
 type Decision struct {
 	Kind   string
 	Job    job.ID
--- a/coordination/owner/owner_test.go
+++ b/coordination/owner/owner_test.go
@@ -255,7 +255,7 @@
 }
 
 // An agent's link is lost while a run is active there, and stays lost. The task starts
-// elsewhere only after the wait-out time, when the run has stopped for certain. If the agent
+// elsewhere only after Bounds.LostLinkTimeout, when the run has stopped for certain. If the agent
 // reconnects later and reports the end of the first run, that end must never be acknowledged.
 func TestLostLinkIsWaitedOut(t *testing.T) {
 	f := newFixture(t, nil, nil, "a", "b")
--- a/coordination/owner/placement.go
+++ b/coordination/owner/placement.go
@@ -187,8 +187,8 @@
 // acceptsWork reports whether new work may be started at an agent.
 func (v *agentView) acceptsWork() bool { return v.load.Accepts && !v.drained }
 
-// isDrained reports whether an agent's failure domain is drained, by what this process or the agent
-// knows.
+// isDrained reports whether this process or the agent knows that the agent's failure domain is
+// drained.
 func (v *agentView) isDrained() bool { return v.drained || v.load.Drained }
 
 // OnlyDrainedEligible reports whether agents could have a task but all of them are in drained
--- a/coordination/owner/restart.go
+++ b/coordination/owner/restart.go
@@ -11,7 +11,7 @@
 type restartDecision uint8
 
 const (
-	// restartNow: it may be started, with the caution that its crashes require.
+	// restartNow: it may be started, with the isolation that its crashes require.
 	restartNow restartDecision = iota
 	// restartLater: the decision depends on reports about a lost server.
 	restartLater
