--- a/coordination/worker/former_owners.go
+++ b/coordination/worker/former_owners.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Owners are named "node/life", by their node and the incarnation of their process. A process that
-// claims shards under a new incarnation shows that the earlier incarnation of its node is gone. The
-// best-effort runs that the earlier one ordered are of no use any more: nothing of them is
-// recorded, and the new incarnation doesn't know them. If they were left until the adoption timeout
-// after all processes were killed at once, they would keep every worker busy, and nothing would be
-// served for 0.4 s.
+// Owners are named "node/incarnation", by their node and the incarnation of their process. A
+// process that claims shards under a new incarnation shows that the earlier incarnation of its node
+// is gone. The best-effort runs that the earlier one ordered are of no use any more: nothing of
+// them is recorded, and the new incarnation doesn't know them. If they were left until the adoption
+// timeout after all processes were killed at once, they would keep every worker busy, and nothing
+// would be served for 0.4 s.
 
 // NodeOf returns the node part of an owner's name.
 func NodeOf(owner string) string {
--- a/coordination/worker/former_owners_test.go
+++ b/coordination/worker/former_owners_test.go
@@ -36,7 +36,7 @@
 }
 
 // One of two entries did not restart while the agent did. The run goes on until the adoption
-// time is over.
+// timeout has passed.
 func TestRunMayBelongToALiveEntry(t *testing.T) {
 	f, _ := newFixtureWithFormerRun(t)
 	f.claimAs("entry-1/new", bestEffortShard+1)
@@ -81,7 +81,7 @@
 	is.Equal(a.timeout(), minResponseTimeout)
 	a.timedOut()
 	is.True(a.timeout() < 2*minResponseTimeout)
-	// The host becomes slow: no answer arrives in time until the time-out has grown.
+	// The host becomes slow: no answer arrives in time until the timeout has grown.
 	for range 12 {
 		a.timedOut()
 	}
@@ -122,7 +122,7 @@
 }
 
 // A backend server answers quickly for a while. Then a job whose tasks may not be repeated
-// starts a thousand of them, and some starts take 30 ms. With a time-out of 20 ms each of these
+// starts a thousand of them, and some starts take 30 ms. With a timeout of 20 ms each of these
 // was stopped just after it had started, and the caller was told that its job was cut off.
 func TestStartThatMayNotBeRepeatedIsWaitedForLonger(t *testing.T) {
 	f := newFixture(t)
@@ -136,7 +136,7 @@
 }
 
 // A backend server on a busy host answers starts in 2 ms, but takes 60 ms to list a thousand
-// tasks. The time-out for a list must grow with each missing answer, so that the lease is
+// tasks. The timeout for a list must grow with each missing answer, so that the lease is
 // extended before it expires and no run is cut off.
 func TestListsThatAreSlowAreWaitedFor(t *testing.T) {
 	f := newFixture(t)
--- a/coordination/worker/load.go
+++ b/coordination/worker/load.go
@@ -22,7 +22,7 @@
 	Ahead [len(SlackBuckets)]time.Duration
 	// Slowdown is the ratio of actual to expected run time here; 1 is normal.
 	Slowdown float64
-	// Turnover is the mean time until there is room for one more task. If the active runs occupy
+	// Turnover is the mean time until one more task fits. If the active runs occupy
 	// more than the capacity, several of them have to end first.
 	Turnover time.Duration
 	Accepts  bool
--- a/coordination/worker/orders.go
+++ b/coordination/worker/orders.go
@@ -66,7 +66,7 @@
 // shouldReturnLocked reports whether a waiting order should be returned to its owner, because it
 // would start too late here and has time to go elsewhere. Several owners see the same free capacity
 // and send their orders there at once. All but the first would wait until a task ends, some 60 ms
-// on a worker with room for six, while other workers have capacity.
+// on a worker that fits six, while other workers have free capacity.
 func (w *Worker) shouldReturnLocked(now time.Duration, r *run) bool {
 	slack := r.order.latestStart() - now
 	ahead, overcommitted := w.expectedWaitLocked(now, r)
--- a/coordination/worker/worker_test.go
+++ b/coordination/worker/worker_test.go
@@ -180,7 +180,7 @@
 
 // A start gets no answer and is carried out two seconds later. The worker must keep the
 // capacity reserved, and the owner must not start the task elsewhere, until the run is barred
-// here. Capacity freed at the time-out would let the late start overcommit the backend server,
+// here. Capacity freed at the timeout would let the late start overcommit the backend server,
 // and a task started elsewhere would run twice.
 func TestUnansweredStartKeepsItsCapacityUntilItIsBarred(t *testing.T) {
 	f := newFixture(t)
@@ -307,7 +307,7 @@
 	f.is.Equal(f.Load(f.now).Slowdown, 1.0)
 }
 
-// On a busy host the ends of very short tasks are noticed late. That delay must not count as a
+// On a busy host the ends of very short tasks are detected late. That delay must not count as a
 // slowdown of the server.
 func TestLateDetectionOfShortTasksIsNoSlowdown(t *testing.T) {
 	f := newFixture(t)
@@ -403,7 +403,7 @@
 }
 
 // The host is suspended for longer than an owner may be silent. After the suspension an order
-// that waited in the socket must not start anything: the next owner relies on the silence limit
+// that waited in the socket must not start anything: the next owner relies on the owner timeout
 // and has started the task elsewhere.
 func TestOrderAfterASuspensionIsDropped(t *testing.T) {
 	f := newFixture(t)
@@ -560,7 +560,7 @@
 }
 
 // The end of a recorded job's run waits for the job's record. While the backend server lists
-// that end, holds return at once without news, and the call tells the driver so.
+// that end, holds return at once without a new end, which HoldCall.UnackedEnds tells the driver.
 func TestHoldReportsEndsThatWaitForTheirRecord(t *testing.T) {
 	f := newFixture(t)
 	f.claim(recordedShard, 1, 1)
