--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -291,7 +291,8 @@
 	return out
 }
 
-// Occupied reports whether an agent may have runs of the shards that are open here.
+// MayHaveRunsAt reports whether an agent may have a run of a shard that is open here, or an end
+// that is not settled.
 func (a *Agent) MayHaveRunsAt(node string) bool {
 	return slices.ContainsFunc(a.ownedShards(), func(r *shardRunner) bool { return r.Shard.MayHaveRunsAt(node) })
 }
--- a/daemon/agent/placers.go
+++ b/daemon/agent/placers.go
@@ -21,7 +21,7 @@
 
 // recentPlacers records the owners whose orders this agent has received. They are stored in
 // the agent's notes, so that its next incarnation knows which owners the runs that it finds on
-// its backend server may belong to. See worker.Former.
+// its backend server may belong to; see Worker.SetFormerOwners in coordination/worker.
 type recentPlacers struct {
 	mu sync.Mutex
 	// All fields below are guarded by mu.
--- a/daemon/core/bounds.go
+++ b/daemon/core/bounds.go
@@ -35,7 +35,7 @@
 	// TickInterval is the interval between two ticks of a shard's state machine.
 	TickInterval = 50 * time.Millisecond
 	// NeedLinksTimeout is how long a job waits for new links when too few of the linked agents
-	// offer what it needs. A dial and the first load report take 30 ms.
+	// offer what it needs; see LinkSet.RecordNeed. A dial and the first load report take 30 ms.
 	NeedLinksTimeout = 200 * time.Millisecond
 	// ConfigWait is how long a read of the configuration waits for new records. With
 	// followSlack added, a silent connection is detected within the platform's limit of 2 s.
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -107,14 +107,15 @@
 	return nil
 }
 
-// Share implements linkUser.
+// Share returns the hash buckets of this entry, by which its links are chosen.
 func (e *Entry) Share() subset.Share { return e.buckets.get() }
 
-// Required implements linkUser: the owners of recorded jobs are linked while requests go
-// to them.
+// Required returns the owners of recorded jobs that have to be linked, because requests go to
+// them.
 func (e *Entry) Required() []string { return e.owners.inUse(bootclock.Now()) }
 
-// Occupied implements linkUser.
+// MayHaveRunsAt reports whether an agent may have a run of one of the best-effort jobs, or an end
+// that is not settled.
 func (e *Entry) MayHaveRunsAt(node string) bool { return e.bestEffort.MayHaveRunsAt(node) }
 
 // applyConfig puts a version of the configuration into force unless it or a newer one
