--- a/daemon/dev/system_test.go
+++ b/daemon/dev/system_test.go
@@ -61,7 +61,7 @@
 }
 
 // job returns a job with the given number of tasks, which run for ms milliseconds
-// each and return their index. more is appended to the fields of each payload.
+// each and return their index. extraFields are appended to the fields of each payload.
 func (d *testSystem) job(id string, tasks, ms int, extraFields string) api.Submission {
 	d.t.Helper()
 	var list []string
@@ -72,8 +72,8 @@
 	return d.decode(body)
 }
 
-// request returns a request that runs for ms milliseconds and returns "done". more
-// is appended to the fields of its payload.
+// request returns a request that runs for ms milliseconds and returns "done". extraFields
+// are appended to the fields of its payload.
 func (d *testSystem) request(id string, ms int, repeatable bool, extraFields string) api.Submission {
 	d.t.Helper()
 	return d.decode(fmt.Sprintf(`{"service":"bench-desk","kind":"request","id":%q,"deadline_ms":60000,"repeatable":%v,
