--- a/coordination/owner/owner.go
+++ b/coordination/owner/owner.go
@@ -117,13 +117,15 @@
 	finished
 )
 
-// task is guarded by Shard.mu.
+// task is the owner's state of one task. Guarded by Shard.mu.
 type task struct {
-	phase  taskPhase
+	phase taskPhase
+	// number is the number of the task's newest run, and node the agent it was ordered at.
 	number int64
 	// waiting is set while the task is in the shard's backlog.
-	waiting    bool
-	node       string
+	waiting bool
+	node    string
+	// failedNode is the agent on which a run of the task last failed or could not start.
 	failedNode string
 	// deferredEnd is the end of an earlier owner's run, kept while a newer run may still be found.
 	deferredEnd *Addressed[worker.RunState]
@@ -140,22 +142,32 @@
 	clearedRun int64
 }
 
-// jobState is guarded by Shard.mu.
+// jobState is the owner's state of one job. Guarded by Shard.mu.
 type jobState struct {
-	rec           *job.Record
-	tasks         []task
-	remaining     int
-	durable       bool
+	// rec is the job's record with all changes, including those that are not in the store yet.
+	rec   *job.Record
+	tasks []task
+	// remaining is the number of tasks that are not done.
+	remaining int
+	// durable is set once the job's record is in the store. A best-effort job needs none and is
+	// durable from the beginning.
+	durable bool
+	// reportedState is the state that clients get. The end of a recorded job is in it only once it
+	// is in the store.
 	reportedState job.State
-	started       bool
-	acceptedAt    time.Duration
-	due           time.Duration
+	// started is set once this owner knows that a task has started, or the job has ended.
+	started    bool
+	acceptedAt time.Duration
+	// due is when the job has to end.
+	due time.Duration
 	// usefulUntil is when an answer stops being of use; zero: never.
 	usefulUntil time.Duration
 	// late is set for a job that can't be in time.
 	late bool
 	// ordered is set once an order for a task was sent.
-	ordered       bool
+	ordered bool
+	// waiters get a reply when the job is recorded or, if it is a best-effort job, when it ends.
+	// cancelWaiters get one when the cancellation is recorded.
 	waiters       []func(Response)
 	cancelWaiters []func(Response)
 	// watchers get a reply when the job's end is recorded.
