--- a/coordination/worker/run.go
+++ b/coordination/worker/run.go
@@ -43,7 +43,8 @@
 	nextStop     time.Duration
 	startedAt    time.Duration
 	end          endState
-	queueSeq     int64
+	// queueSeq numbers the orders as they arrive.
+	queueSeq int64
 	// loss and suspects are reported to the owner of a run that was lost with its server.
 	loss     Loss
 	suspects int
--- a/coordination/worker/worker.go
+++ b/coordination/worker/worker.go
@@ -215,10 +215,14 @@
 
 // shardState is what is known about the owner of one shard. Guarded by Worker.mu.
 type shardState struct {
-	owner   string
-	epoch   int64
+	// owner is empty once the owner has released the shard or has timed out.
+	owner string
+	epoch int64
+	// session is the session of the link on which the shard was claimed.
 	session int64
-	heard   time.Duration
+	// heard is when the last message of the owner arrived. After the loss of its link it is set
+	// back, so that the owner times out after Bounds.ReconnectTimeout.
+	heard time.Duration
 }
 
 // Stats are counters of a Worker.
