--- a/daemon/agent/agent.go
+++ b/daemon/agent/agent.go
@@ -222,7 +222,7 @@
 	if e.State.Status == worker.Running {
 		// This event is not urgent: it only affects the reported state of a job and the counts
 		// of queued jobs, which may be seconds old.
-		c.SendQuietly(add)
+		c.SendWithNextFrame(add)
 		return
 	}
 	c.Send(add)
--- a/daemon/agent/backend.go
+++ b/daemon/agent/backend.go
@@ -49,7 +49,7 @@
 // ctx ends.
 func (a *Agent) holdLoop(ctx context.Context) {
 	lost := false
-	failures := pause.Backoff{Least: minHoldBackoff, Most: maxHoldBackoff}
+	failures := pause.Backoff{Min: minHoldBackoff, Max: maxHoldBackoff}
 	for ctx.Err() == nil {
 		c, ok := a.worker.Hold(bootclock.Now())
 		if !ok {
--- a/daemon/agent/callers.go
+++ b/daemon/agent/callers.go
@@ -95,8 +95,8 @@
 	s.ownershipSentAt = 0
 }
 
-// Complete implements peer.AgentHandler. Each frame carries the present load.
-func (a *Agent) Complete(c *peer.Caller, f *corepb.FromAgent) {
+// BeforeSend implements peer.AgentHandler. Each frame carries the present load.
+func (a *Agent) BeforeSend(c *peer.Caller, f *corepb.FromAgent) {
 	now := bootclock.Now()
 	// The counter is read before the load, so that the load includes every order that is
 	// reported as seen.
--- a/daemon/agent/drains.go
+++ b/daemon/agent/drains.go
@@ -50,5 +50,5 @@
 	}()
 }
 
-// LinkComplete implements peer.LinkHandler. Each frame carries the known drains.
-func (a *Agent) LinkComplete(f *corepb.ToAgent) { f.Drains = a.drains.ToWire() }
+// LinkBeforeSend implements peer.LinkHandler. Each frame carries the known drains.
+func (a *Agent) LinkBeforeSend(f *corepb.ToAgent) { f.Drains = a.drains.ToWire() }
--- a/daemon/agent/serve.go
+++ b/daemon/agent/serve.go
@@ -30,8 +30,8 @@
 	c.Send(emptyFrame)
 }
 
-// CallerGone implements peer.AgentHandler.
-func (a *Agent) CallerGone(c *peer.Caller) {
+// CallerDown implements peer.AgentHandler.
+func (a *Agent) CallerDown(c *peer.Caller) {
 	a.worker.LinkLost(bootclock.Now(), c.Node)
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/daemon/clients/clients.go
+++ b/daemon/clients/clients.go
@@ -213,6 +213,6 @@
 func (c *Clients) Handler() http.Handler {
 	m := metrics.New()
 	return httpapi.New(httpapi.Options{
-		Dispatcher: c, Declarer: c, Drainer: c, Status: c, Spec: c.Spec, Ready: c.Ready, Registry: m.Registry, Refused: m.Refused,
+		Dispatcher: c, Declarer: c, Drainer: c, Status: c, Spec: c.Spec, Ready: c.Ready, Registry: m.Registry, OnRefusal: m.Refused,
 	})
 }
--- a/daemon/core/links.go
+++ b/daemon/core/links.go
@@ -272,7 +272,7 @@
 // renew ends the session of the link to an agent, so that the link connects again.
 func (l *LinkSet) renew(node string) {
 	if link := l.Get(node); link != nil {
-		link.Renew()
+		link.Reconnect()
 	}
 }
 
@@ -287,6 +287,6 @@
 // sendQuietly is like Send, for content that may wait for the next frame that is sent anyway.
 func (l *LinkSet) sendQuietly(node string, fill func(*corepb.ToAgent)) {
 	if link := l.Get(node); link != nil {
-		link.SendQuietly(fill)
+		link.SendWithNextFrame(fill)
 	}
 }
--- a/daemon/core/registry.go
+++ b/daemon/core/registry.go
@@ -72,7 +72,7 @@
 // Retry repeats a call to the store, with exponential backoff, until it succeeds or the context
 // ends. failureMessage is the log message for each failure.
 func Retry(ctx context.Context, failureMessage string, call func() error) {
-	backoff := pause.Backoff{Least: minRetryDelay, Most: maxRetryDelay}
+	backoff := pause.Backoff{Min: minRetryDelay, Max: maxRetryDelay}
 	for ctx.Err() == nil {
 		began := bootclock.Now()
 		err := call()
@@ -115,7 +115,7 @@
 // run follows the partition until the context ends.
 func (f *follower) run(ctx context.Context) {
 	lost := false
-	backoff := pause.Backoff{Least: minRetryDelay, Most: maxRetryDelay}
+	backoff := pause.Backoff{Min: minRetryDelay, Max: maxRetryDelay}
 	for ctx.Err() == nil {
 		began := bootclock.Now()
 		err := f.readAndFollow(ctx, &lost, &backoff)
--- a/daemon/dev/drain_test.go
+++ b/daemon/dev/drain_test.go
@@ -32,7 +32,7 @@
 	d.is.Equal(again.Version, state.Version(1)) // draining again changes nothing
 	before := d.BackendServers()[1].Starts()
 	for i := range 5 {
-		_, f := d.client.SubmitSettled(d.ctx(), d.job(fmt.Sprint("drained-", i), 30, 5, ""), 100)
+		_, f := d.client.SubmitWithRetry(d.ctx(), d.job(fmt.Sprint("drained-", i), 30, 5, ""), 100)
 		d.is.True(f == nil)
 	}
 	d.is.Equal(d.BackendServers()[1].Starts(), before)
@@ -42,7 +42,7 @@
 	tries := 0
 	d.await("the domain is used again", func() bool {
 		tries++
-		_, f := d.client.SubmitSettled(d.ctx(), d.job(fmt.Sprint("back-", tries), 40, 5, ""), 100)
+		_, f := d.client.SubmitWithRetry(d.ctx(), d.job(fmt.Sprint("back-", tries), 40, 5, ""), 100)
 		return f == nil && d.BackendServers()[1].Starts() > before
 	})
 	h, f := d.client.DrainHistory(d.ctx(), "iksan")
--- a/daemon/dev/system_test.go
+++ b/daemon/dev/system_test.go
@@ -46,7 +46,7 @@
 	// An owner that has just taken over a shard knows no agents yet and refuses
 	// jobs. Submit requests whose ids cover every shard until all are served.
 	for i := range 16 {
-		_, f := d.client.SubmitSettled(d.ctx(), d.request(fmt.Sprint("warm-up-", i), 0, true, ""), 100)
+		_, f := d.client.SubmitWithRetry(d.ctx(), d.request(fmt.Sprint("warm-up-", i), 0, true, ""), 100)
 		if f != nil {
 			t.Fatal(f)
 		}
@@ -221,10 +221,10 @@
 	for _, a := range d.Agents() {
 		a.Start()
 	}
-	a, f := d.client.SubmitSettled(d.ctx(), again, 100)
+	a, f := d.client.SubmitWithRetry(d.ctx(), again, 100)
 	d.is.True(f == nil) // complete, although a run may have been cut off
 	d.is.Equal(string(a.Results[0]), `"done"`)
-	a, f = d.client.SubmitSettled(d.ctx(), d.job("power", 6, 700, ""), 100)
+	a, f = d.client.SubmitWithRetry(d.ctx(), d.job("power", 6, 700, ""), 100)
 	d.checkCompleteOrCutOff(result{a, f}, "power", 6)
 }
 
@@ -258,7 +258,7 @@
 		r := <-waiting
 		d.is.Equal(r.failure.Outcome, state.Unknown) // the entry was killed
 		d.Agents()[i].Start()
-		a, f := d.client.SubmitSettled(d.ctx(), s, 100)
+		a, f := d.client.SubmitWithRetry(d.ctx(), s, 100)
 		d.checkCompleteOrCutOff(result{a, f}, "owner", 8)
 	}
 }
@@ -344,7 +344,7 @@
 	d.is.Equal(d.Ledger().Starts("bench-desk/refused"), 0)
 	d.Store().SetFault("", standin.NoFault)
 	d.checkComplete(<-running, 4)
-	a, f := d.client.SubmitSettled(d.ctx(), d.request("refused", 1, true, ""), 100)
+	a, f := d.client.SubmitWithRetry(d.ctx(), d.request("refused", 1, true, ""), 100)
 	d.is.True(f == nil)
 	d.is.Equal(string(a.Results[0]), `"done"`)
 }
@@ -367,7 +367,7 @@
 	d.is.True(r.failure.RetryAfter() > 0)
 	_, f = d.client.Apply(d.ctx(), "haneul", 2, declarationWithQuota(1000))
 	d.is.True(f == nil)
-	a, f := d.client.SubmitSettled(d.ctx(), d.job("more", 1, 1, ""), 5) // retries after the time in the refusal
+	a, f := d.client.SubmitWithRetry(d.ctx(), d.job("more", 1, 1, ""), 5) // retries after the time in the refusal
 	d.checkComplete(result{a, f}, 1)
 }
 
@@ -441,9 +441,9 @@
 		time.Sleep(300 * time.Millisecond)
 		d.Store().SetFault("entry", standin.NoFault)
 	}()
-	_, f := d.client.ApplySettled(d.ctx(), "haneul", 1, declarationWithPriority(7))
+	_, f := d.client.ApplyAndConfirm(d.ctx(), "haneul", 1, declarationWithPriority(7))
 	if f != nil && f.Outcome == state.NotRun && f.Problem.Reason != state.ReasonLostRace {
-		_, f = d.client.ApplySettled(d.ctx(), "haneul", 1, declarationWithPriority(7)) // the first apply was not carried out
+		_, f = d.client.ApplyAndConfirm(d.ctx(), "haneul", 1, declarationWithPriority(7)) // the first apply was not carried out
 	}
 	d.is.True(f == nil)
 	again, f := d.client.Apply(d.ctx(), "haneul", 1, declarationWithPriority(7))
--- a/daemon/devrun.go
+++ b/daemon/devrun.go
@@ -120,7 +120,7 @@
 		return exitFailed
 	}
 	begin := time.Now()
-	a, f := c.SubmitSettled(ctx, job, submitAttempts)
+	a, f := c.SubmitWithRetry(ctx, job, submitAttempts)
 	elapsed := time.Since(begin)
 	if f != nil {
 		fmt.Fprintln(stderr, f)
--- a/daemon/entry/drains.go
+++ b/daemon/entry/drains.go
@@ -47,5 +47,5 @@
 	return known
 }
 
-// LinkComplete implements peer.LinkHandler. It adds the known drains to every frame.
-func (e *Entry) LinkComplete(f *corepb.ToAgent) { f.Drains = e.drains.ToWire() }
+// LinkBeforeSend implements peer.LinkHandler. It adds the known drains to every frame.
+func (e *Entry) LinkBeforeSend(f *corepb.ToAgent) { f.Drains = e.drains.ToWire() }
--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -119,7 +119,7 @@
 	return a.links
 }
 
-func (a *fakeAgent) Complete(_ *peer.Caller, f *corepb.FromAgent) {
+func (a *fakeAgent) BeforeSend(_ *peer.Caller, f *corepb.FromAgent) {
 	f.Load = &corepb.Load{Service: "desk", CapacityCpu: 1000, FreeCpu: 1000, Accepts: true}
 }
 
@@ -135,7 +135,7 @@
 	return len(a.stops)
 }
 
-func (a *fakeAgent) CallerGone(*peer.Caller) {}
+func (a *fakeAgent) CallerDown(*peer.Caller) {}
 func (a *fakeAgent) CallerUp(*peer.Caller) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/daemon/entry/owners.go
+++ b/daemon/entry/owners.go
@@ -60,7 +60,7 @@
 func newOwnerCache(s *settings.Settings, st store.Store) *ownerCache {
 	return &ownerCache{
 		settings: s, store: st, owners: make(map[int]shardOwner), usedAt: make(map[int]time.Duration),
-		backoff: pause.Backoff{Least: minRefreshInterval, Most: maxRefreshInterval},
+		backoff: pause.Backoff{Min: minRefreshInterval, Max: maxRefreshInterval},
 	}
 }
 
@@ -153,7 +153,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refreshing = false
-	c.nextRefresh = bootclock.Now() + c.backoff.After(0)
+	c.nextRefresh = bootclock.Now() + c.backoff.Next(0)
 	if err != nil {
 		klog.InfoS("The owners of the shards could not be read", "err", err)
 		return true
--- a/transport/asynclog/asynclog.go
+++ b/transport/asynclog/asynclog.go
@@ -14,16 +14,16 @@
 
 const (
 	// queueLines holds the lines of a burst of some hundred decisions.
-	queueLines = 2048
+	queueCapacity = 2048
 	// linesPerSecond bounds the processor time that logging takes: at about
 	// 5 µs a line, 1 % of a core.
-	linesPerSecond = 2000
+	maxLinesPerSecond = 2000
 	// gatherFor is how long a line waits for others, so that they are written in
 	// one call: at 900 lines a second a call for each takes 2 % of a core. A
 	// process that is killed loses the lines of that time.
-	gatherFor = 20 * time.Millisecond
+	batchDelay = 20 * time.Millisecond
 	// reportEvery is the pace of the line that counts what was left out.
-	reportEvery = 5 * time.Second
+	reportInterval = 5 * time.Second
 )
 
 // Writer is an io.Writer for whole lines. Write never blocks.
@@ -35,7 +35,7 @@
 
 // New returns a writer in front of out. Close writes what is queued.
 func New(out io.Writer) *Writer {
-	w := &Writer{lines: make(chan []byte, queueLines), done: make(chan struct{})}
+	w := &Writer{lines: make(chan []byte, queueCapacity), done: make(chan struct{})}
 	go w.run(out)
 	return w
 }
@@ -62,14 +62,14 @@
 
 func (w *Writer) run(out io.Writer) {
 	defer close(w.done)
-	r := newRate(time.Now())
+	r := newRateLimiter(time.Now())
 	reported := time.Now()
 	var text []byte
 	for line := range w.lines {
-		time.Sleep(gatherFor)
+		time.Sleep(batchDelay)
 		now := time.Now()
-		text = w.gather(text[:0], r, now, line)
-		if now.Sub(reported) >= reportEvery {
+		text = w.batch(text[:0], r, now, line)
+		if now.Sub(reported) >= reportInterval {
 			reported = now
 			if n := w.dropped.Swap(0); n > 0 {
 				text = fmt.Appendf(text, "W log lines left out: %d\n", n)
@@ -83,9 +83,9 @@
 }
 
 // gather appends a line and all that are queued, as far as the rate allows.
-func (w *Writer) gather(text []byte, r *rate, now time.Time, line []byte) []byte {
+func (w *Writer) batch(text []byte, r *rateLimiter, now time.Time, line []byte) []byte {
 	for {
-		if r.take(now) {
+		if r.allow(now) {
 			text = append(text, line...)
 		} else {
 			w.dropped.Add(1)
@@ -103,18 +103,18 @@
 }
 
 // rate bounds the lines of any second.
-type rate struct {
-	began time.Time
+type rateLimiter struct {
+	start time.Time
 	lines sliding.Window
 }
 
-func newRate(now time.Time) *rate {
-	return &rate{began: now, lines: sliding.Window{Span: time.Second, Resolution: gatherFor}}
+func newRateLimiter(now time.Time) *rateLimiter {
+	return &rateLimiter{start: now, lines: sliding.Window{Span: time.Second, Resolution: batchDelay}}
 }
 
-func (r *rate) take(now time.Time) bool {
-	at := now.Sub(r.began)
-	if r.lines.Sum(at) >= linesPerSecond {
+func (r *rateLimiter) allow(now time.Time) bool {
+	at := now.Sub(r.start)
+	if r.lines.Sum(at) >= maxLinesPerSecond {
 		return false
 	}
 	r.lines.Add(at, 1)
--- a/transport/asynclog/asynclog_test.go
+++ b/transport/asynclog/asynclog_test.go
@@ -62,7 +62,7 @@
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		for range 3 * queueLines {
+		for range 3 * queueCapacity {
 			if _, err := w.Write([]byte("line\n")); err != nil {
 				t.Error(err)
 			}
@@ -82,12 +82,12 @@
 func TestRateOfLines(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	r := newRate(now)
-	for range linesPerSecond {
-		is.True(r.take(now))
+	r := newRateLimiter(now)
+	for range maxLinesPerSecond {
+		is.True(r.allow(now))
 	}
-	is.True(!r.take(now.Add(time.Second - 1)))
-	is.True(r.take(now.Add(time.Second)))
+	is.True(!r.allow(now.Add(time.Second - 1)))
+	is.True(r.allow(now.Add(time.Second)))
 }
 
 // Guards against twice the bound of lines, and of processor time, in a second that begins in
@@ -95,10 +95,10 @@
 func TestLinesOfAnySecondAreBounded(t *testing.T) {
 	is := is.New(t)
 	begin := time.Now()
-	r := newRate(begin)
+	r := newRateLimiter(begin)
 	var taken []time.Duration
 	for at := 900 * time.Millisecond; at < 4*time.Second; at += 200 * time.Microsecond {
-		if r.take(begin.Add(at)) {
+		if r.allow(begin.Add(at)) {
 			taken = append(taken, at)
 		}
 	}
@@ -107,6 +107,6 @@
 		for at-taken[from] >= time.Second {
 			from++
 		}
-		is.True(i-from+1 <= linesPerSecond)
+		is.True(i-from+1 <= maxLinesPerSecond)
 	}
 }
--- a/transport/cli/check.go
+++ b/transport/cli/check.go
@@ -27,28 +27,28 @@
 }
 
 // checked is the finding on one file.
-type checked struct {
+type checkResult struct {
 	File  string `json:"file"`
 	Kind  string `json:"kind"`
-	Fault string `json:"fault,omitempty"`
+	Error string `json:"fault,omitempty"`
 }
 
 func runCheck(_ context.Context, v *invocation) int {
 	code := ExitDone
-	findings := make([]checked, 0, len(v.args))
+	results := make([]checkResult, 0, len(v.args))
 	for _, name := range v.args {
 		raw, rc := v.readFile(name)
 		if rc != ExitDone {
 			return rc
 		}
 		c := checkFile(name, raw)
-		if c.Fault != "" {
+		if c.Error != "" {
 			code = ExitRefused
 		}
-		findings = append(findings, c)
+		results = append(results, c)
 	}
-	v.print(findings, func() {
-		for _, c := range findings {
+	v.print(results, func() {
+		for _, c := range results {
 			v.printf("%s\n", c)
 		}
 	})
@@ -56,46 +56,46 @@
 }
 
 // String returns the finding for a person.
-func (c checked) String() string {
-	if c.Fault == "" {
+func (c checkResult) String() string {
+	if c.Error == "" {
 		return c.File + ": ok, a " + c.Kind
 	}
-	return c.Fault
+	return c.Error
 }
 
 // checkFile tells the kinds of files apart by a field that only one of them
 // has: settings have a role, job files a kind, plans a plan.
-func checkFile(name string, raw []byte) checked {
-	fields := fieldsOf(raw)
+func checkFile(name string, raw []byte) checkResult {
+	fields := topLevelFields(raw)
 	switch {
 	case fields["kind"] != nil:
 		_, p := api.DecodeFile("", raw)
 		if p != nil {
-			return checked{File: name, Kind: "job file", Fault: name + ": " + p.Detail}
+			return checkResult{File: name, Kind: "job file", Error: name + ": " + p.Detail}
 		}
-		return checked{File: name, Kind: "job file"}
+		return checkResult{File: name, Kind: "job file"}
 	case fields["role"] != nil:
 		_, err := settings.Parse(name, raw)
-		return finding(name, "settings file", err)
+		return newCheckResult(name, "settings file", err)
 	case fields["plan"] != nil:
 		_, err := loadgen.ParsePlan(name, raw)
-		return finding(name, "plan", err)
+		return newCheckResult(name, "plan", err)
 	}
 	_, err := declaration.Parse(name, raw)
-	return finding(name, "declaration", err)
+	return newCheckResult(name, "declaration", err)
 }
 
-func finding(name, kind string, err error) checked {
-	c := checked{File: name, Kind: kind}
+func newCheckResult(name, kind string, err error) checkResult {
+	c := checkResult{File: name, Kind: kind}
 	if err != nil {
-		c.Fault = err.Error()
+		c.Error = err.Error()
 	}
 	return c
 }
 
 // fieldsOf returns the fields of a file, or none if it can't be read: the
 // parser of its kind then says what is wrong.
-func fieldsOf(raw []byte) map[string]json.RawMessage {
+func topLevelFields(raw []byte) map[string]json.RawMessage {
 	plain, err := hujson.Standardize(bytes.Clone(raw))
 	if err != nil {
 		return nil
--- a/transport/cli/cli.go
+++ b/transport/cli/cli.go
@@ -42,12 +42,12 @@
 
 // command is one subcommand.
 type command struct {
-	name  string
-	args  string // how the arguments read in the usage
-	about string
+	name    string
+	args    string // how the arguments read in the usage
+	summary string
 	// least and most bound the number of arguments; most is negative for any.
-	least int
-	most  int
+	minArgs int
+	maxArgs int
 	// addrFlag names the flag of the entry's address; empty means addr.
 	addrFlag string
 	// flags adds the command's own flags to the common ones.
@@ -57,19 +57,19 @@
 
 func commands() []command {
 	return []command{
-		{name: "apply", args: "FILE", about: "replace an operator's declaration by a file", least: 1, most: 1, flags: applyFlags, run: runApply},
-		{name: "show", args: "OPERATOR", about: "print the declaration in force", least: 1, most: 1, run: runShow},
-		{name: "history", args: "OPERATOR", about: "list accepted declarations", least: 1, most: 1, run: runHistory},
-		{name: "diff", args: "FILE", about: "compare a file with the declaration in force", least: 1, most: 1, run: runDiff},
-		{name: "drain", args: "[DOMAIN]", about: "have nothing newly started in a failure domain, or list the failure domains", most: 1, flags: drainFlags, run: runDrain},
-		{name: "undrain", args: "DOMAIN", about: "put a drained failure domain to use again", least: 1, most: 1, run: runUndrain},
-		{name: "status", about: "print what the entry knows of the system", run: runStatus},
-		{name: "submit", args: "FILE", about: "submit a job file, and wait for the answer or only until it is accepted", least: 1, most: 1, flags: submitFlags, run: runSubmit},
-		{name: "state", args: "SERVICE ID", about: "print a job's state, or its results", least: 2, most: 2, run: runState},
-		{name: "cancel", args: "SERVICE ID", about: "stop a job", least: 2, most: 2, run: runCancel},
-		{name: "check", args: "FILE...", about: "check files without sending them", least: 1, most: -1, run: runCheck},
-		{name: "measure", args: "[FILE...]", about: "carry out a plan of load on a running system, measure and check", most: -1, addrFlag: "target", flags: measureFlags, run: runMeasure},
-		{name: "version", about: "print the software's version", run: runVersion},
+		{name: "apply", args: "FILE", summary: "replace an operator's declaration by a file", minArgs: 1, maxArgs: 1, flags: applyFlags, run: runApply},
+		{name: "show", args: "OPERATOR", summary: "print the declaration in force", minArgs: 1, maxArgs: 1, run: runShow},
+		{name: "history", args: "OPERATOR", summary: "list accepted declarations", minArgs: 1, maxArgs: 1, run: runHistory},
+		{name: "diff", args: "FILE", summary: "compare a file with the declaration in force", minArgs: 1, maxArgs: 1, run: runDiff},
+		{name: "drain", args: "[DOMAIN]", summary: "have nothing newly started in a failure domain, or list the failure domains", maxArgs: 1, flags: drainFlags, run: runDrain},
+		{name: "undrain", args: "DOMAIN", summary: "put a drained failure domain to use again", minArgs: 1, maxArgs: 1, run: runUndrain},
+		{name: "status", summary: "print what the entry knows of the system", run: runStatus},
+		{name: "submit", args: "FILE", summary: "submit a job file, and wait for the answer or only until it is accepted", minArgs: 1, maxArgs: 1, flags: submitFlags, run: runSubmit},
+		{name: "state", args: "SERVICE ID", summary: "print a job's state, or its results", minArgs: 2, maxArgs: 2, run: runState},
+		{name: "cancel", args: "SERVICE ID", summary: "stop a job", minArgs: 2, maxArgs: 2, run: runCancel},
+		{name: "check", args: "FILE...", summary: "check files without sending them", minArgs: 1, maxArgs: -1, run: runCheck},
+		{name: "measure", args: "[FILE...]", summary: "carry out a plan of load on a running system, measure and check", maxArgs: -1, addrFlag: "target", flags: measureFlags, run: runMeasure},
+		{name: "version", summary: "print the software's version", run: runVersion},
 	}
 }
 
@@ -85,12 +85,12 @@
 	output    string
 	timeout   time.Duration
 
-	service string
-	base    int64
-	tries   int
-	wait    bool
-	past    bool
-	measure measureOptions
+	service     string
+	base        int64
+	maxAttempts int
+	wait        bool
+	showHistory bool
+	measure     measureOptions
 }
 
 // Run carries out one command line, without the program's name, and returns
@@ -114,7 +114,7 @@
 	fmt.Fprintln(w, "Usage: shallotstep COMMAND [flags] [arguments]")
 	fmt.Fprintln(w, "\nCommands:")
 	for _, c := range commands() {
-		fmt.Fprintf(w, "  %-24s %s\n", strings.TrimSpace(c.name+" "+c.args), c.about)
+		fmt.Fprintf(w, "  %-24s %s\n", strings.TrimSpace(c.name+" "+c.args), c.summary)
 	}
 	fmt.Fprintln(w, "\nshallotstep COMMAND -help lists the command's flags.")
 	fmt.Fprintln(w, "Exit codes: 0 done, 1 refused or failed, 2 usage, 3 unknown outcome.")
@@ -135,7 +135,7 @@
 	if !v.parse(args) {
 		return ExitUsage
 	}
-	if len(v.args) < c.least || (c.most >= 0 && len(v.args) > c.most) {
+	if len(v.args) < c.minArgs || (c.maxArgs >= 0 && len(v.args) > c.maxArgs) {
 		v.flags.Usage()
 		return ExitUsage
 	}
@@ -165,7 +165,7 @@
 		if len(rest) == 0 {
 			return true
 		}
-		if ended(args, rest) {
+		if endsFlags(args, rest) {
 			v.args = append(v.args, rest...)
 			return true
 		}
@@ -176,7 +176,7 @@
 
 // ended says whether "--" closed the flags, so that an argument may begin with
 // a dash.
-func ended(args, rest []string) bool {
+func endsFlags(args, rest []string) bool {
 	i := len(args) - len(rest) - 1
 	return i >= 0 && args[i] == "--"
 }
--- a/transport/cli/cli_test.go
+++ b/transport/cli/cli_test.go
@@ -152,16 +152,16 @@
 		{"not run", []answer{{503, "", problem("not_run", "never_runnable", "")}}, ExitRefused, 1},
 		{"failed", []answer{{502, "", problem("failed", "task_failed", `,"retry_after_ms":5`)}}, ExitRefused, 1},
 		{"unknown", []answer{{503, "", problem("unknown", "owner_lost", "")}}, ExitUnknown, 1},
-		{"lost for good", []answer{{}}, ExitUnknown, defaultTries},
+		{"lost for good", []answer{{}}, ExitUnknown, defaultMaxAttempts},
 		{"lost once", []answer{{}, {200, "", complete}}, ExitDone, 2},
 		{"busy once", []answer{{429, "", problem("not_run", "quota", `,"retry_after_ms":700`)}, {200, "", complete}}, ExitDone, 2},
 		// The lost try may still be granted after the second one was refused.
 		{"lost, then not run", []answer{{}, {429, "", problem("not_run", "quota", "")}}, ExitUnknown, 2},
-		{"another job's answer", []answer{{200, "", `{"id":"j2","outcome":"complete","results":[1]}`}}, ExitUnknown, defaultTries},
-		{"short answer", []answer{{200, "", `{"id":"j1","outcome":"complete","results":[]}`}}, ExitUnknown, defaultTries},
-		{"pending answer", []answer{{200, "", `{"id":"j1","outcome":"pending"}`}}, ExitUnknown, defaultTries},
-		{"garbage", []answer{{200, "", `<html>`}}, ExitUnknown, defaultTries},
-		{"unknown outcome word", []answer{{503, "", `{"outcome":"maybe"}`}}, ExitUnknown, defaultTries},
+		{"another job's answer", []answer{{200, "", `{"id":"j2","outcome":"complete","results":[1]}`}}, ExitUnknown, defaultMaxAttempts},
+		{"short answer", []answer{{200, "", `{"id":"j1","outcome":"complete","results":[]}`}}, ExitUnknown, defaultMaxAttempts},
+		{"pending answer", []answer{{200, "", `{"id":"j1","outcome":"pending"}`}}, ExitUnknown, defaultMaxAttempts},
+		{"garbage", []answer{{200, "", `<html>`}}, ExitUnknown, defaultMaxAttempts},
+		{"unknown outcome word", []answer{{503, "", `{"outcome":"maybe"}`}}, ExitUnknown, defaultMaxAttempts},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/transport/cli/connect.go
+++ b/transport/cli/connect.go
@@ -37,7 +37,7 @@
 }
 
 // failed reports a call that brought no answer and returns the exit code.
-func (v *invocation) failed(f *httpclient.Failure) int {
+func (v *invocation) reportFailure(f *httpclient.Failure) int {
 	fmt.Fprintf(v.Stderr, "shallotstep: %s\n", f)
 	if v.output == "json" {
 		v.printJSON(failureProblem(f))
--- a/transport/cli/declare.go
+++ b/transport/cli/declare.go
@@ -31,11 +31,11 @@
 	if f != nil {
 		// Nothing has been sent yet but a question.
 		f.Outcome = state.NotRun
-		return v.failed(f)
+		return v.reportFailure(f)
 	}
-	applied, f := c.ApplySettled(ctx, operator, base, raw)
+	applied, f := c.ApplyAndConfirm(ctx, operator, base, raw)
 	if f != nil {
-		return v.failed(f)
+		return v.reportFailure(f)
 	}
 	return v.print(applied, func() { v.printf("%s is at version %d\n", operator, applied.Version) })
 }
@@ -58,15 +58,15 @@
 	}
 	d, f := c.Declaration(ctx, v.args[0])
 	if f != nil {
-		return v.failed(f)
+		return v.reportFailure(f)
 	}
-	doc := shown{Operator: v.args[0], Version: d.Version, File: string(d.Raw)}
+	doc := shownDoc{Operator: v.args[0], Version: d.Version, File: string(d.Raw)}
 	return v.print(doc, func() { v.Stdout.Write(d.Raw) })
 }
 
 // shown is a declaration as scripts read it. File is text, because it may hold
 // comments.
-type shown struct {
+type shownDoc struct {
 	Operator string        `json:"operator"`
 	Version  state.Version `json:"version"`
 	File     string        `json:"file"`
@@ -79,7 +79,7 @@
 	}
 	h, f := c.History(ctx, v.args[0])
 	if f != nil {
-		return v.failed(f)
+		return v.reportFailure(f)
 	}
 	return v.print(h, func() {
 		for _, e := range h.Entries {
--- a/transport/cli/diff.go
+++ b/transport/cli/diff.go
@@ -18,10 +18,10 @@
 	}
 	d, f := c.Declaration(ctx, operator)
 	if f != nil && (f.Problem == nil || f.Problem.Reason != state.ReasonNoDeclaration) {
-		return v.failed(f)
+		return v.reportFailure(f)
 	}
 	lines := diffLines(splitLines(d.Raw), splitLines(raw))
-	doc := difference{Operator: operator, Version: d.Version, Same: len(lines) == 0, Lines: lines}
+	doc := diffDoc{Operator: operator, Version: d.Version, Same: len(lines) == 0, Lines: lines}
 	v.print(doc, func() {
 		for _, l := range lines {
 			v.printf("%s\n", l)
@@ -34,7 +34,7 @@
 }
 
 // difference is a comparison as scripts read it.
-type difference struct {
+type diffDoc struct {
 	Operator string        `json:"operator"`
 	Version  state.Version `json:"version"`
 	Same     bool          `json:"same"`
--- a/transport/cli/measure.go
+++ b/transport/cli/measure.go
@@ -133,7 +133,7 @@
 func (v *invocation) saveReport(m *loadgen.Measurement) bool {
 	ok := true
 	save := func(path string, write func(string) error) {
-		if path != "" && v.wrote(write(path)) != ExitDone {
+		if path != "" && v.reportWriteError(write(path)) != ExitDone {
 			ok = false
 		}
 	}
@@ -143,7 +143,7 @@
 }
 
 // wrote reports a file that couldn't be written.
-func (v *invocation) wrote(err error) int {
+func (v *invocation) reportWriteError(err error) int {
 	if err != nil {
 		fmt.Fprintf(v.Stderr, "shallotstep: %v\n", err)
 		return ExitRefused
@@ -165,8 +165,8 @@
 }
 
 func (v *invocation) compareReports() int {
-	const two = 2
-	if len(v.args) != two {
+	const reportCount = 2
+	if len(v.args) != reportCount {
 		return v.usageError("-compare takes two report files")
 	}
 	reports, code := v.readReports()
@@ -189,5 +189,5 @@
 	if code != ExitDone {
 		return code
 	}
-	return v.wrote(loadgen.PlotLoads(v.measure.loadPlot, reports))
+	return v.reportWriteError(loadgen.PlotLoads(v.measure.loadPlot, reports))
 }
--- a/transport/cli/status.go
+++ b/transport/cli/status.go
@@ -19,7 +19,7 @@
 	}
 	s, f := c.Status(ctx)
 	if f != nil {
-		return v.failed(f)
+		return v.reportFailure(f)
 	}
 	return v.print(s, func() { v.printStatus(s) })
 }
@@ -33,7 +33,7 @@
 	fmt.Fprintf(w, "agents: %d\n", len(s.Agents))
 	for _, a := range s.Agents {
 		fmt.Fprintf(w, "  %s\t%s\t%s\t%.1f of %.1f cores free\t%d ms waiting\t%s\t%d ms old\n",
-			a.Name, a.Domain, a.Service, a.FreeCores, a.Cores, a.WaitingMS, condition(a), a.AgeMS)
+			a.Name, a.Domain, a.Service, a.FreeCores, a.Cores, a.WaitingMS, agentState(a), a.AgeMS)
 	}
 	fmt.Fprintf(w, "declarations: %d\n", len(s.Declarations))
 	for _, d := range s.Declarations {
@@ -44,7 +44,7 @@
 	}
 }
 
-func condition(a api.Agent) string {
+func agentState(a api.Agent) string {
 	switch {
 	case a.Drained:
 		return "drained"
--- a/transport/cli/submit.go
+++ b/transport/cli/submit.go
@@ -9,12 +9,12 @@
 )
 
 // defaultTries is how often a submission is sent before giving up.
-const defaultTries = 4
+const defaultMaxAttempts = 4
 
 func submitFlags(v *invocation) {
 	v.flags.StringVar(&v.service, "service", "", "the `name` of the service, instead of the file's")
 	v.flags.BoolVar(&v.wait, "wait", true, "wait for the results; with -wait=false only until the job is accepted")
-	v.flags.IntVar(&v.tries, "tries", defaultTries, "how often to send it at most, each time under the same id")
+	v.flags.IntVar(&v.maxAttempts, "tries", defaultMaxAttempts, "how often to send it at most, each time under the same id")
 }
 
 func runSubmit(ctx context.Context, v *invocation) int {
@@ -30,13 +30,13 @@
 	if code != ExitDone {
 		return code
 	}
-	send := c.SubmitSettled
+	send := c.SubmitWithRetry
 	if !v.wait {
-		send = c.AcceptSettled
+		send = c.AcceptWithRetry
 	}
-	a, f := send(ctx, s, v.tries)
+	a, f := send(ctx, s, v.maxAttempts)
 	if f != nil {
-		return v.failed(f)
+		return v.reportFailure(f)
 	}
 	return v.print(a, func() { v.printAnswer(a) })
 }
@@ -72,7 +72,7 @@
 	}
 	a, f := c.Query(ctx, key)
 	if f != nil {
-		return v.failed(f)
+		return v.reportFailure(f)
 	}
 	return v.print(a, func() { v.printAnswer(a) })
 }
@@ -84,16 +84,16 @@
 	}
 	a, f := c.Cancel(ctx, key)
 	if f != nil {
-		return v.failed(f)
+		return v.reportFailure(f)
 	}
-	v.print(a, func() { v.printf("%s: %s\n", a.ID, cancelled(a)) })
+	v.print(a, func() { v.printf("%s: %s\n", a.ID, cancelResult(a)) })
 	if a.Reason == state.ReasonCancelled {
 		return ExitDone
 	}
 	return ExitRefused
 }
 
-func cancelled(a api.Answer) string {
+func cancelResult(a api.Answer) string {
 	if a.Reason == state.ReasonCancelled {
 		return "cancelled (" + state.Outcome(a.Outcome).String() + ")"
 	}
--- a/transport/httpapi/auth.go
+++ b/transport/httpapi/auth.go
@@ -51,31 +51,31 @@
 }
 
 // actsFor says whether the principal may act for an operator.
-func (p principal) actsFor(operator string) bool {
+func (p principal) mayActFor(operator string) bool {
 	return p.role == RoleAdmin || (p.operator == operator && operator != "")
 }
 
 // prefixSize is how much of a token's digest finds it in the table.
-const prefixSize = 8
+const digestPrefixSize = 8
 
-type prefix [prefixSize]byte
+type digestPrefix [digestPrefixSize]byte
 
 // tokenTable finds a principal by the start of its token's digest and then
 // compares the whole digests in constant time. The time that a lookup takes
 // tells nothing about the secrets, because whoever guesses at a token can't
 // steer its digest.
-type tokenTable map[prefix]tokenEntry
+type tokenTable map[digestPrefix]tokenEntry
 
 type tokenEntry struct {
-	digest [sha256.Size]byte
-	who    principal
+	digest    [sha256.Size]byte
+	principal principal
 }
 
 func newTokenTable(tokens []Token) tokenTable {
 	t := make(tokenTable, len(tokens))
 	for _, token := range tokens {
 		sum := sha256.Sum256([]byte(token.Secret))
-		t[prefix(sum[:prefixSize])] = tokenEntry{digest: sum, who: principal{operator: token.Operator, role: token.Role}}
+		t[digestPrefix(sum[:digestPrefixSize])] = tokenEntry{digest: sum, principal: principal{operator: token.Operator, role: token.Role}}
 	}
 	return t
 }
@@ -86,23 +86,23 @@
 		return principal{}, false
 	}
 	sum := sha256.Sum256([]byte(secret))
-	e, ok := t[prefix(sum[:prefixSize])]
+	e, ok := t[digestPrefix(sum[:digestPrefixSize])]
 	if !ok || subtle.ConstantTimeCompare(e.digest[:], sum[:]) != 1 {
 		return principal{}, false
 	}
-	return e.who, true
+	return e.principal, true
 }
 
 // authorize finds out who asks and whether its role is enough.
-func (s *server) authorize(x *exchange, need Role) *api.Problem {
+func (s *server) authorize(x *exchange, minRole Role) *api.Problem {
 	who, ok := s.authenticate(x.req)
 	if !ok {
-		return api.NewProblem(state.ReasonUnauthorized, x.turnedAway, "this attempt was not accepted")
+		return api.NewProblem(state.ReasonUnauthorized, x.refusalOutcome, "this attempt was not accepted")
 	}
-	if who.role.rank() < need.rank() {
-		return x.forbidden("this needs the role %s", need)
+	if who.role.rank() < minRole.rank() {
+		return x.forbidden("this needs the role %s", minRole)
 	}
-	x.who = who
+	x.principal = who
 	return nil
 }
 
@@ -130,5 +130,5 @@
 }
 
 func (x *exchange) forbidden(format string, args ...any) *api.Problem {
-	return api.NewProblem(state.ReasonForbidden, x.turnedAway, format, args...)
+	return api.NewProblem(state.ReasonForbidden, x.refusalOutcome, format, args...)
 }
--- a/transport/httpapi/body.go
+++ b/transport/httpapi/body.go
@@ -18,9 +18,9 @@
 	bodyTimeout = 30 * time.Second
 	// DefaultMaxHeldBytes bounds the bodies in memory at once, to 32 of the
 	// largest.
-	DefaultMaxHeldBytes = 32 * state.MaxBodyBytes
+	DefaultMaxBufferedBytes = 32 * state.MaxBodyBytes
 	// firstBodyBytes bounds what is set aside on a caller's word alone.
-	firstBodyBytes = 64 << 10
+	initialBufferBytes = 64 << 10
 	// overloadRetryAfter is when a caller refused for want of memory may come
 	// back: bodies are held for about as long as a short job runs.
 	overloadRetryAfter = time.Second
@@ -43,18 +43,18 @@
 	// Without this bound a burst of large bodies takes the process's memory
 	// before any queue limit is asked; refusing first is enough, because the
 	// body has not been read yet.
-	if !s.held.TryAcquire(size) {
+	if !s.bufferedBytes.TryAcquire(size) {
 		return nil, nil, x.overloaded()
 	}
 	body, p = readAll(x, size)
 	if p != nil {
-		s.held.Release(size)
+		s.bufferedBytes.Release(size)
 		return nil, nil, p
 	}
 	// A body that didn't state its length was reserved for in full.
 	length := int64(len(body))
-	s.held.Release(size - length)
-	return body, func() { s.held.Release(length) }, nil
+	s.bufferedBytes.Release(size - length)
+	return body, func() { s.bufferedBytes.Release(length) }, nil
 }
 
 func readAll(x *exchange, size int64) ([]byte, *api.Problem) {
@@ -64,7 +64,7 @@
 	_ = ctl.SetReadDeadline(time.Now().Add(bodyTimeout))
 	defer func() { _ = ctl.SetReadDeadline(time.Time{}) }()
 	var buf bytes.Buffer
-	buf.Grow(int(min(size, firstBodyBytes)))
+	buf.Grow(int(min(size, initialBufferBytes)))
 	_, err := io.Copy(&buf, http.MaxBytesReader(x.w, x.req.Body, state.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -72,13 +72,13 @@
 	}
 	if err != nil {
 		// What the caller meant to send isn't known, and may have run before.
-		return nil, api.NewProblem(state.ReasonMalformed, x.turnedAway, "the body could not be read: %v", err)
+		return nil, api.NewProblem(state.ReasonMalformed, x.refusalOutcome, "the body could not be read: %v", err)
 	}
 	return buf.Bytes(), nil
 }
 
 func (x *exchange) overloaded() *api.Problem {
-	p := api.NewProblem(state.ReasonOverload, x.turnedAway, "this attempt was not accepted: too many bodies are being held")
+	p := api.NewProblem(state.ReasonOverload, x.refusalOutcome, "this attempt was not accepted: too many bodies are being held")
 	p.RetryAfter = overloadRetryAfter
 	return p
 }
--- a/transport/httpapi/declarations.go
+++ b/transport/httpapi/declarations.go
@@ -8,7 +8,7 @@
 )
 
 func (s *server) applyDeclaration(x *exchange) {
-	operator, p := s.ownOperator(x)
+	operator, p := s.authorizedOperator(x)
 	if p != nil {
 		x.refuse(p)
 		return
@@ -66,7 +66,7 @@
 }
 
 func (s *server) getDeclaration(x *exchange) {
-	operator, p := s.ownOperator(x)
+	operator, p := s.authorizedOperator(x)
 	if p != nil {
 		x.refuse(p)
 		return
@@ -81,22 +81,22 @@
 }
 
 func (s *server) getHistory(x *exchange) {
-	operator, p := s.ownOperator(x)
+	operator, p := s.authorizedOperator(x)
 	if p != nil {
 		x.refuse(p)
 		return
 	}
-	x.answer(api.History{Operator: operator, Entries: orEmpty(s.Declarer.History(operator))})
+	x.answer(api.History{Operator: operator, Entries: nonNil(s.Declarer.History(operator))})
 }
 
 // ownOperator returns the operator that is asked for, if the asker may act
 // for it.
-func (s *server) ownOperator(x *exchange) (string, *api.Problem) {
+func (s *server) authorizedOperator(x *exchange) (string, *api.Problem) {
 	operator := x.params.ByName("operator")
 	if p := api.CheckOperator(operator); p != nil {
 		return "", p
 	}
-	if !x.who.actsFor(operator) {
+	if !x.principal.mayActFor(operator) {
 		return "", x.forbidden("the token is not for operator %q", operator)
 	}
 	return operator, nil
--- a/transport/httpapi/drains.go
+++ b/transport/httpapi/drains.go
@@ -26,7 +26,7 @@
 }
 
 func (s *server) listDrains(x *exchange) {
-	x.answer(api.DrainList{Domains: orEmpty(s.Drainer.Drains())})
+	x.answer(api.DrainList{Domains: nonNil(s.Drainer.Drains())})
 }
 
 func (s *server) getDrainHistory(x *exchange) {
@@ -35,5 +35,5 @@
 		x.refuse(p)
 		return
 	}
-	x.answer(api.DrainHistory{Domain: domain, Entries: orEmpty(s.Drainer.DrainHistory(domain))})
+	x.answer(api.DrainHistory{Domain: domain, Entries: nonNil(s.Drainer.DrainHistory(domain))})
 }
--- a/transport/httpapi/exchange.go
+++ b/transport/httpapi/exchange.go
@@ -18,43 +18,43 @@
 
 // exchange is one HTTP request and its answer.
 type exchange struct {
-	w      http.ResponseWriter
-	req    *http.Request
-	params httprouter.Params
-	route  string
-	who    principal
+	w         http.ResponseWriter
+	req       *http.Request
+	params    httprouter.Params
+	route     string
+	principal principal
 	// turnedAway is the outcome of an attempt that is refused before its job
 	// is known. On the routes of jobs it is Unknown: an earlier attempt under
 	// the same id, through another entry or with another token, may have run,
 	// and "not run" would invite the caller to start it under a second id.
-	turnedAway state.Outcome
-	metric     *metrics
-	begun      time.Time
-	status     int
+	refusalOutcome state.Outcome
+	metrics        *metrics
+	start          time.Time
+	status         int
 }
 
 func (s *server) begin(w http.ResponseWriter, req *http.Request, ps httprouter.Params, route string) *exchange {
 	return &exchange{
-		w:          w,
-		req:        req,
-		params:     ps,
-		route:      route,
-		turnedAway: state.NotRun,
-		metric:     s.metrics,
-		begun:      time.Now(),
+		w:              w,
+		req:            req,
+		params:         ps,
+		route:          route,
+		refusalOutcome: state.NotRun,
+		metrics:        s.metrics,
+		start:          time.Now(),
 	}
 }
 
 func (x *exchange) end() {
-	x.metric.answered(x.route, x.status, time.Since(x.begun))
+	x.metrics.answered(x.route, x.status, time.Since(x.start))
 	if x.req.Context().Err() != nil {
-		x.metric.disconnects.WithLabelValues(x.route).Inc()
+		x.metrics.disconnects.WithLabelValues(x.route).Inc()
 	}
 }
 
 // refuse writes a problem document and counts it by its reason.
 func (x *exchange) refuse(p *api.Problem) {
-	x.metric.refused(x.route, p.Reason, p.Outcome)
+	x.metrics.refused(x.route, p.Reason, p.Outcome)
 	body, err := api.EncodeDocument(p)
 	if err != nil {
 		panic(err) // a problem always has a JSON form
@@ -79,7 +79,7 @@
 }
 
 // internal answers when a check on the answer to a job failed.
-func (x *exchange) internal(id string, o state.Outcome, err error) {
+func (x *exchange) refuseInternal(id string, o state.Outcome, err error) {
 	klog.ErrorS(err, "Withheld an answer that failed its check", "route", x.route, "id", id)
 	p := api.NewProblem(state.ReasonInternal, o, "%v", err)
 	p.ID = id
--- a/transport/httpapi/handler.go
+++ b/transport/httpapi/handler.go
@@ -16,9 +16,9 @@
 // server holds what the handlers share. It has no state of its own to guard.
 type server struct {
 	Options
-	tokens  tokenTable
-	metrics *metrics
-	held    *semaphore.Weighted
+	tokens        tokenTable
+	metrics       *metrics
+	bufferedBytes *semaphore.Weighted
 }
 
 // New returns the handler of an entry's HTTP interface.
@@ -29,14 +29,14 @@
 	if o.Ready == nil {
 		o.Ready = func() bool { return true }
 	}
-	if o.MaxHeldBytes == 0 {
-		o.MaxHeldBytes = DefaultMaxHeldBytes
+	if o.MaxBufferedBytes == 0 {
+		o.MaxBufferedBytes = DefaultMaxBufferedBytes
 	}
 	s := &server{
-		Options: o,
-		tokens:  newTokenTable(o.Tokens),
-		metrics: newMetrics(o.Registry, o.Refused),
-		held:    semaphore.NewWeighted(o.MaxHeldBytes),
+		Options:       o,
+		tokens:        newTokenTable(o.Tokens),
+		metrics:       newMetrics(o.Registry, o.OnRefusal),
+		bufferedBytes: semaphore.NewWeighted(o.MaxBufferedBytes),
 	}
 	routes := s.routes()
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -53,8 +53,8 @@
 	// may name another job.
 	r.RedirectTrailingSlash = false
 	r.RedirectFixedPath = false
-	r.NotFound = s.plain("none", s.notFound)
-	r.MethodNotAllowed = s.plain("none", s.methodNotAllowed)
+	r.NotFound = s.public("none", s.notFound)
+	r.MethodNotAllowed = s.public("none", s.methodNotAllowed)
 
 	// An id may hold slashes, hence the catch-all.
 	s.handle(r, http.MethodPost, "/v1/services/:service/jobs", RoleCaller, s.submitJob)
@@ -75,20 +75,20 @@
 	s.handle(r, http.MethodGet, "/v1/status", RoleOperator, s.getStatus)
 	r.Handler(http.MethodGet, "/metrics", promhttp.HandlerFor(s.Registry, promhttp.HandlerOpts{}))
 	for _, method := range []string{http.MethodGet, http.MethodHead} {
-		r.Handler(method, "/healthz", s.plain("/healthz", s.healthz))
-		r.Handler(method, "/readyz", s.plain("/readyz", s.readyz))
+		r.Handler(method, "/healthz", s.public("/healthz", s.healthz))
+		r.Handler(method, "/readyz", s.public("/readyz", s.readyz))
 	}
 	return r
 }
 
 // handle registers a resource that needs at least a role.
-func (s *server) handle(r *httprouter.Router, method, route string, need Role, h func(*exchange)) {
+func (s *server) handle(r *httprouter.Router, method, route string, minRole Role, h func(*exchange)) {
 	r.Handle(method, route, func(w http.ResponseWriter, req *http.Request, ps httprouter.Params) {
 		x := s.begin(w, req, ps, route)
-		if need == RoleCaller {
-			x.turnedAway = state.Unknown
+		if minRole == RoleCaller {
+			x.refusalOutcome = state.Unknown
 		}
-		if p := s.authorize(x, need); p != nil {
+		if p := s.authorize(x, minRole); p != nil {
 			x.refuse(p)
 		} else {
 			h(x)
@@ -98,7 +98,7 @@
 }
 
 // plain makes a handler of a resource that is open to everybody.
-func (s *server) plain(route string, h func(*exchange)) http.Handler {
+func (s *server) public(route string, h func(*exchange)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		x := s.begin(w, req, nil, route)
 		h(x)
--- a/transport/httpapi/handler_test.go
+++ b/transport/httpapi/handler_test.go
@@ -179,7 +179,7 @@
 // is told at once to come back, and once the others are through it is served.
 func TestHeldBodiesAreBounded(t *testing.T) {
 	b := newBench(t)
-	b.start(t, Options{MaxHeldBytes: int64(len(oneTask))})
+	b.start(t, Options{MaxBufferedBytes: int64(len(oneTask))})
 	b.dispatcher.gate = make(chan struct{})
 	var first conc.WaitGroup
 	first.Go(func() { b.is.Equal(b.do("POST", jobs, oneTask).StatusCode, 200) })
--- a/transport/httpapi/jobs.go
+++ b/transport/httpapi/jobs.go
@@ -11,10 +11,10 @@
 
 // statusCallerGone stands in the metrics for an answer that nobody waits for.
 // It never goes over the wire.
-const statusCallerGone = 499
+const statusClientClosedRequest = 499
 
 // anyCount is for answers whose number of tasks the asker doesn't know.
-const anyCount = -1
+const anyTaskCount = -1
 
 func (s *server) submitJob(x *exchange)     { s.submit(x, api.KindJob) }
 func (s *server) submitRequest(x *exchange) { s.submit(x, api.KindRequest) }
@@ -46,7 +46,7 @@
 	// it, a change of the declaration would turn a resubmission into another
 	// job under the same id.
 	digest := sub.Job.Digest()
-	if p := s.complete(x, &sub); p != nil {
+	if p := s.applyDefaults(x, &sub); p != nil {
 		x.refuse(p)
 		return
 	}
@@ -55,7 +55,7 @@
 	tasks := len(sub.Job.Tasks)
 	if async {
 		// Pending is an answer, and results may be there already.
-		tasks = anyCount
+		tasks = anyTaskCount
 	}
 	x.answerJob(a, sub.Job.Key, tasks)
 }
@@ -74,7 +74,7 @@
 }
 
 // complete fills in what the submission leaves to the service's declaration.
-func (s *server) complete(x *exchange, sub *api.Submission) *api.Problem {
+func (s *server) applyDefaults(x *exchange, sub *api.Submission) *api.Problem {
 	if s.Spec == nil {
 		return nil
 	}
@@ -84,7 +84,7 @@
 	}
 	if len(sub.Job.Tasks) > spec.MaxTasks {
 		// An earlier declaration may have let the same job in.
-		return api.NewProblem(state.ReasonTooManyTasks, x.turnedAway,
+		return api.NewProblem(state.ReasonTooManyTasks, x.refusalOutcome,
 			"this attempt was not accepted: a job of this service has at most %d tasks", spec.MaxTasks)
 	}
 	for i := range sub.Job.Tasks {
@@ -105,7 +105,7 @@
 		x.refuse(p)
 		return
 	}
-	x.answerJob(s.Dispatcher.Query(x.req.Context(), key), key, anyCount)
+	x.answerJob(s.Dispatcher.Query(x.req.Context(), key), key, anyTaskCount)
 }
 
 func (s *server) cancelJob(x *exchange) {
@@ -120,7 +120,7 @@
 		x.answer(api.CancelledOf(a))
 		return
 	}
-	x.answerJob(a, key, anyCount)
+	x.answerJob(a, key, anyTaskCount)
 }
 
 // answerJob writes the answer to one job. An answer to another job, a partial
@@ -128,24 +128,24 @@
 // the caller would take it for its own. The job may well have run.
 func (x *exchange) answerJob(a state.Answer, key state.JobKey, tasks int) {
 	if x.req.Context().Err() != nil {
-		x.status = statusCallerGone
+		x.status = statusClientClosedRequest
 		return
 	}
 	if a.Key != key {
-		x.internal(key.ID, state.Unknown, errOtherJob)
+		x.refuseInternal(key.ID, state.Unknown, errOtherJob)
 		return
 	}
 	if p := api.ProblemOf(a); p != nil {
 		x.refuse(p)
 		return
 	}
-	if a.Outcome == state.Pending && tasks != anyCount {
-		x.internal(key.ID, state.Unknown, errNotFinal)
+	if a.Outcome == state.Pending && tasks != anyTaskCount {
+		x.refuseInternal(key.ID, state.Unknown, errNotFinal)
 		return
 	}
 	doc, err := api.AnswerOf(a, tasks)
 	if err != nil {
-		x.internal(key.ID, state.Failed, err)
+		x.refuseInternal(key.ID, state.Failed, err)
 		return
 	}
 	x.answer(doc)
@@ -167,9 +167,9 @@
 	if !ok {
 		// "Unknown" and not "not run": the news of a new service takes seconds,
 		// and another entry may have accepted the same id already.
-		return "", api.NewProblem(state.ReasonUnknownService, x.turnedAway, "this attempt was not accepted: no declaration known here has the service %q", service)
+		return "", api.NewProblem(state.ReasonUnknownService, x.refusalOutcome, "this attempt was not accepted: no declaration known here has the service %q", service)
 	}
-	if !x.who.actsFor(operator) {
+	if !x.principal.mayActFor(operator) {
 		return "", x.forbidden("the token is not for the operator of service %q", service)
 	}
 	return operator, nil
--- a/transport/httpapi/metrics.go
+++ b/transport/httpapi/metrics.go
@@ -15,14 +15,14 @@
 	requests    *prometheus.CounterVec
 	refusals    *prometheus.CounterVec
 	disconnects *prometheus.CounterVec
-	seconds     *prometheus.HistogramVec
+	duration    *prometheus.HistogramVec
 	// told is told of each refusal; it may be nil.
-	told func(state.Reason)
+	onRefusal func(state.Reason)
 }
 
-func newMetrics(r prometheus.Registerer, told func(state.Reason)) *metrics {
+func newMetrics(r prometheus.Registerer, onRefusal func(state.Reason)) *metrics {
 	m := &metrics{
-		told: told,
+		onRefusal: onRefusal,
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "shallotstep_http_requests_total",
 			Help: "HTTP requests answered, by route and status code.",
@@ -35,32 +35,32 @@
 			Name: "shallotstep_http_disconnects_total",
 			Help: "Callers that went away before their answer, by route.",
 		}, []string{"route"}),
-		seconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "shallotstep_http_request_seconds",
 			Help:    "Time from a request's header to its answer, by route.",
-			Buckets: prometheus.ExponentialBuckets(firstBucket, bucketFactor, buckets),
+			Buckets: prometheus.ExponentialBuckets(bucketStart, bucketFactor, bucketCount),
 		}, []string{"route"}),
 	}
-	r.MustRegister(m.requests, m.refusals, m.disconnects, m.seconds)
+	r.MustRegister(m.requests, m.refusals, m.disconnects, m.duration)
 	return m
 }
 
 // The histogram reaches from 1 ms to 32 s, which holds the shortest status
 // question and the longest ordinary job.
 const (
-	firstBucket  = 0.001
+	bucketStart  = 0.001
 	bucketFactor = 2
-	buckets      = 16
+	bucketCount  = 16
 )
 
 func (m *metrics) answered(route string, status int, took time.Duration) {
 	m.requests.WithLabelValues(route, strconv.Itoa(status)).Inc()
-	m.seconds.WithLabelValues(route).Observe(took.Seconds())
+	m.duration.WithLabelValues(route).Observe(took.Seconds())
 }
 
 func (m *metrics) refused(route string, reason state.Reason, outcome state.Outcome) {
 	m.refusals.WithLabelValues(route, string(reason), outcome.String()).Inc()
-	if m.told != nil {
-		m.told(reason)
+	if m.onRefusal != nil {
+		m.onRefusal(reason)
 	}
 }
--- a/transport/httpapi/options.go
+++ b/transport/httpapi/options.go
@@ -92,8 +92,8 @@
 	// means a registry of its own.
 	Registry *prometheus.Registry
 	// Refused is told of each refusal; nil for nobody.
-	Refused func(state.Reason)
+	OnRefusal func(state.Reason)
 	// MaxHeldBytes bounds the bodies of all submissions being answered. Zero
 	// means DefaultMaxHeldBytes.
-	MaxHeldBytes int64
+	MaxBufferedBytes int64
 }
--- a/transport/httpapi/status.go
+++ b/transport/httpapi/status.go
@@ -8,20 +8,20 @@
 )
 
 // ok is the body of a passed health check.
-const ok = "ok\n"
+const healthyBody = "ok\n"
 
 const contentTypeText = "text/plain; charset=utf-8"
 
 func (s *server) getStatus(x *exchange) {
 	doc := s.Status.Status()
-	doc.Agents = orEmpty(doc.Agents)
-	doc.DrainedDomains = orEmpty(doc.DrainedDomains)
-	doc.Declarations = orEmpty(doc.Declarations)
+	doc.Agents = nonNil(doc.Agents)
+	doc.DrainedDomains = nonNil(doc.DrainedDomains)
+	doc.Declarations = nonNil(doc.Declarations)
 	x.answer(doc)
 }
 
 // orEmpty makes a list that stands as [] in JSON and never as null.
-func orEmpty[T any](list []T) []T {
+func nonNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
 	}
@@ -30,7 +30,7 @@
 
 // healthz says that the process runs.
 func (s *server) healthz(x *exchange) {
-	x.write(http.StatusOK, contentTypeText, []byte(ok))
+	x.write(http.StatusOK, contentTypeText, []byte(healthyBody))
 }
 
 // readyz says whether the balancer may send work here.
@@ -39,5 +39,5 @@
 		x.refuse(api.NewProblem(state.ReasonNotReady, state.NotRun, "this entry takes no new work"))
 		return
 	}
-	x.write(http.StatusOK, contentTypeText, []byte(ok))
+	x.write(http.StatusOK, contentTypeText, []byte(healthyBody))
 }
--- a/transport/httpclient/calls.go
+++ b/transport/httpclient/calls.go
@@ -14,15 +14,15 @@
 // whole answer to this very submission: a mixed-up or short one counts as
 // lost, and the same id may be submitted again.
 func (c *Client) Submit(ctx context.Context, s api.Submission) (api.Answer, *Failure) {
-	a, f := document[api.Answer](ctx, c, submitCall(s))
+	a, f := callJSON[api.Answer](ctx, c, submitCall(s))
 	if f != nil {
 		return a, f
 	}
 	if a.ID != s.Job.Key.ID {
-		return a, lost(errors.Errorf("the answer belongs to %q", a.ID))
+		return a, unknownOutcome(errors.Errorf("the answer belongs to %q", a.ID))
 	}
 	if state.Outcome(a.Outcome) != state.Complete || len(a.Results) != len(s.Job.Tasks) {
-		return a, lost(errors.Errorf("the answer is %s with %d results for %d tasks",
+		return a, unknownOutcome(errors.Errorf("the answer is %s with %d results for %d tasks",
 			state.Outcome(a.Outcome), len(a.Results), len(s.Job.Tasks)))
 	}
 	return a, nil
@@ -33,9 +33,9 @@
 func (c *Client) Accept(ctx context.Context, s api.Submission) (api.Answer, *Failure) {
 	k := submitCall(s)
 	k.header = http.Header{"Prefer": {"respond-async"}}
-	a, f := document[api.Answer](ctx, c, k)
+	a, f := callJSON[api.Answer](ctx, c, k)
 	if f == nil && a.ID != s.Job.Key.ID {
-		return a, lost(errors.Errorf("the answer belongs to %q", a.ID))
+		return a, unknownOutcome(errors.Errorf("the answer belongs to %q", a.ID))
 	}
 	return a, f
 }
@@ -54,13 +54,13 @@
 
 // Query asks for the state of a job and starts nothing.
 func (c *Client) Query(ctx context.Context, key state.JobKey) (api.Answer, *Failure) {
-	return document[api.Answer](ctx, c, jobCall(http.MethodGet, key))
+	return callJSON[api.Answer](ctx, c, jobCall(http.MethodGet, key))
 }
 
 // Cancel stops a job. The answer is what the job came to: cancelled, or
 // complete where the cancellation came too late.
 func (c *Client) Cancel(ctx context.Context, key state.JobKey) (api.Answer, *Failure) {
-	return document[api.Answer](ctx, c, jobCall(http.MethodDelete, key))
+	return callJSON[api.Answer](ctx, c, jobCall(http.MethodDelete, key))
 }
 
 func jobCall(method string, key state.JobKey) call {
@@ -75,7 +75,7 @@
 	}
 	v, ok := api.ParseETag(r.header.Get("ETag"))
 	if !ok {
-		return api.Declaration{}, lost(errors.New("the answer has no version"))
+		return api.Declaration{}, unknownOutcome(errors.New("the answer has no version"))
 	}
 	return api.Declaration{Version: v, Raw: r.body}, nil
 }
@@ -84,7 +84,7 @@
 func (c *Client) History(ctx context.Context, operator string) (api.History, *Failure) {
 	k := declarationCall(http.MethodGet, operator)
 	k.path = append(k.path, "history")
-	return document[api.History](ctx, c, k)
+	return callJSON[api.History](ctx, c, k)
 }
 
 // Apply sends a declaration once. A base of zero means that it is the first.
@@ -97,7 +97,7 @@
 	} else {
 		k.header.Set("If-Match", api.ETag(base))
 	}
-	return document[api.Applied](ctx, c, k)
+	return callJSON[api.Applied](ctx, c, k)
 }
 
 func declarationCall(method, operator string) call {
@@ -110,20 +110,20 @@
 	if drained {
 		method = http.MethodPut
 	}
-	return document[api.DrainApplied](ctx, c, call{method: method, path: []string{"v1", "drains", domain}})
+	return callJSON[api.DrainApplied](ctx, c, call{method: method, path: []string{"v1", "drains", domain}})
 }
 
 // Drains lists the failure domains.
 func (c *Client) Drains(ctx context.Context) (api.DrainList, *Failure) {
-	return document[api.DrainList](ctx, c, call{method: http.MethodGet, path: []string{"v1", "drains"}})
+	return callJSON[api.DrainList](ctx, c, call{method: http.MethodGet, path: []string{"v1", "drains"}})
 }
 
 // DrainHistory returns what was asked for a failure domain.
 func (c *Client) DrainHistory(ctx context.Context, domain string) (api.DrainHistory, *Failure) {
-	return document[api.DrainHistory](ctx, c, call{method: http.MethodGet, path: []string{"v1", "drains", domain, "history"}})
+	return callJSON[api.DrainHistory](ctx, c, call{method: http.MethodGet, path: []string{"v1", "drains", domain, "history"}})
 }
 
 // Status returns what the entry knows of the system.
 func (c *Client) Status(ctx context.Context) (api.Status, *Failure) {
-	return document[api.Status](ctx, c, call{method: http.MethodGet, path: []string{"v1", "status"}})
+	return callJSON[api.Status](ctx, c, call{method: http.MethodGet, path: []string{"v1", "status"}})
 }
--- a/transport/httpclient/client.go
+++ b/transport/httpclient/client.go
@@ -139,15 +139,15 @@
 	defer res.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes+1))
 	if err != nil {
-		return reply{}, lost(errors.Wrap(err, "the reply broke off"))
+		return reply{}, unknownOutcome(errors.Wrap(err, "the reply broke off"))
 	}
 	if len(body) > maxReplyBytes {
-		return reply{}, lost(errors.Errorf("the reply is over %d bytes", maxReplyBytes))
+		return reply{}, unknownOutcome(errors.Errorf("the reply is over %d bytes", maxReplyBytes))
 	}
 	if res.StatusCode == http.StatusOK {
 		return reply{header: res.Header, body: body}, nil
 	}
-	return reply{}, refused(res, body)
+	return reply{}, failureFromResponse(res, body)
 }
 
 func (c *Client) request(ctx context.Context, k call) (*http.Request, error) {
@@ -172,33 +172,33 @@
 	return req, nil
 }
 
-func lost(err error) *Failure {
+func unknownOutcome(err error) *Failure {
 	return &Failure{Outcome: state.Unknown, Err: err}
 }
 
 // refused reads a problem document. Anything else, such as a balancer's own
 // error page, says nothing of the outcome.
-func refused(res *http.Response, body []byte) *Failure {
+func failureFromResponse(res *http.Response, body []byte) *Failure {
 	mediaType, _, _ := mime.ParseMediaType(res.Header.Get("Content-Type"))
 	if mediaType != api.ContentTypeProblem {
-		return lost(errors.Errorf("the reply has status %s and is no problem document", res.Status))
+		return unknownOutcome(errors.Errorf("the reply has status %s and is no problem document", res.Status))
 	}
 	var p api.Problem
 	if err := json.Unmarshal(body, &p); err != nil {
-		return lost(errors.Wrap(err, "the problem document can't be read"))
+		return unknownOutcome(errors.Wrap(err, "the problem document can't be read"))
 	}
 	return &Failure{Outcome: p.Outcome, Problem: &p}
 }
 
 // document makes a call whose answer is a JSON document.
-func document[T any](ctx context.Context, c *Client, k call) (T, *Failure) {
+func callJSON[T any](ctx context.Context, c *Client, k call) (T, *Failure) {
 	var doc T
 	r, f := c.do(ctx, k)
 	if f != nil {
 		return doc, f
 	}
 	if err := json.Unmarshal(r.body, &doc); err != nil {
-		return doc, lost(errors.Wrap(err, "the answer can't be read"))
+		return doc, unknownOutcome(errors.Wrap(err, "the answer can't be read"))
 	}
 	return doc, nil
 }
--- a/transport/httpclient/settle.go
+++ b/transport/httpclient/settle.go
@@ -15,74 +15,74 @@
 const (
 	// settleInterval is how often a lost apply is looked up. News of an
 	// accepted declaration takes seconds at most.
-	settleInterval = 500 * time.Millisecond
+	applyPollInterval = 500 * time.Millisecond
 	// firstBackoff doubles with each resubmission up to maxBackoff.
-	firstBackoff = 100 * time.Millisecond
-	maxBackoff   = 5 * time.Second
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 5 * time.Second
 )
 
 // ApplySettled sends a declaration once and, where its fate is unknown, reads
 // until it is known or ctx ends. It never sends the declaration again: a second
 // append behind another operator's change could take that change back.
-func (c *Client) ApplySettled(ctx context.Context, operator string, base state.Version, raw []byte) (api.Applied, *Failure) {
+func (c *Client) ApplyAndConfirm(ctx context.Context, operator string, base state.Version, raw []byte) (api.Applied, *Failure) {
 	applied, f := c.Apply(ctx, operator, base, raw)
 	if f == nil || f.Outcome != state.Unknown || f.NotSent {
 		return applied, f
 	}
 	for {
-		switch v := c.lookUp(ctx, operator, base, raw); v.fate {
-		case fateWon:
+		switch v := c.resolveApply(ctx, operator, base, raw); v.result {
+		case raceWon:
 			return api.Applied{Operator: operator, Version: v.version, Outcome: api.Outcome(state.Complete)}, nil
-		case fateLost:
-			return applied, lostRace(v.version)
-		case fateHidden:
+		case raceLost:
+			return applied, lostRaceFailure(v.version)
+		case raceUnresolved:
 			return applied, f
 		}
-		if c.sleep(ctx, settleInterval) != nil {
+		if c.sleep(ctx, applyPollInterval) != nil {
 			return applied, f
 		}
 	}
 }
 
 // fate is what reading tells of a declaration whose reply was lost.
-type fate uint8
+type raceResult uint8
 
 const (
-	fateOpen   fate = iota // nothing has replaced the base yet
-	fateWon                // it replaced the base, or is in force
-	fateLost               // another one replaced the base
-	fateHidden             // the base was replaced, but no longer by whom
+	raceOpen       raceResult = iota // nothing has replaced the base yet
+	raceWon                          // it replaced the base, or is in force
+	raceLost                         // another one replaced the base
+	raceUnresolved                   // the base was replaced, but no longer by whom
 )
 
-type verdict struct {
-	fate    fate
+type raceState struct {
+	result  raceResult
 	version state.Version
 }
 
 // lookUp reads what replaced base. In log order only one declaration can, so
 // that finding it settles the matter.
-func (c *Client) lookUp(ctx context.Context, operator string, base state.Version, raw []byte) verdict {
+func (c *Client) resolveApply(ctx context.Context, operator string, base state.Version, raw []byte) raceState {
 	h, f := c.History(ctx, operator)
 	if f != nil {
-		return verdict{}
+		return raceState{}
 	}
 	next, found := successor(h.Entries, base)
 	if found && next.Digest != "" {
 		if next.Digest == digestOf(raw) {
-			return verdict{fateWon, next.Version}
+			return raceState{raceWon, next.Version}
 		}
-		return verdict{fateLost, next.Version}
+		return raceState{raceLost, next.Version}
 	}
 	d, f := c.Declaration(ctx, operator)
 	switch {
 	case f != nil || d.Version <= base:
-		return verdict{}
+		return raceState{}
 	case bytes.Equal(d.Raw, raw):
-		return verdict{fateWon, d.Version}
+		return raceState{raceWon, d.Version}
 	case found && next.Version == d.Version:
-		return verdict{fateLost, d.Version}
+		return raceState{raceLost, d.Version}
 	}
-	return verdict{fate: fateHidden}
+	return raceState{result: raceUnresolved}
 }
 
 func successor(entries []api.HistoryEntry, base state.Version) (api.HistoryEntry, bool) {
@@ -99,7 +99,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func lostRace(version state.Version) *Failure {
+func lostRaceFailure(version state.Version) *Failure {
 	p := api.NewProblem(state.ReasonLostRace, state.NotRun, "version %d replaced the base", version)
 	p.Version = version
 	return &Failure{Outcome: state.NotRun, Problem: p}
@@ -108,26 +108,26 @@
 // SubmitSettled submits until there is an answer, the entry refuses for good,
 // the tries are used up or ctx ends. Every try carries the same id, so that it
 // joins what an earlier one may have started.
-func (c *Client) SubmitSettled(ctx context.Context, s api.Submission, tries int) (api.Answer, *Failure) {
-	return c.settled(ctx, tries, func() (api.Answer, *Failure) { return c.Submit(ctx, s) })
+func (c *Client) SubmitWithRetry(ctx context.Context, s api.Submission, maxAttempts int) (api.Answer, *Failure) {
+	return c.retry(ctx, maxAttempts, func() (api.Answer, *Failure) { return c.Submit(ctx, s) })
 }
 
 // AcceptSettled is SubmitSettled for a caller that doesn't wait for the results.
-func (c *Client) AcceptSettled(ctx context.Context, s api.Submission, tries int) (api.Answer, *Failure) {
-	return c.settled(ctx, tries, func() (api.Answer, *Failure) { return c.Accept(ctx, s) })
+func (c *Client) AcceptWithRetry(ctx context.Context, s api.Submission, maxAttempts int) (api.Answer, *Failure) {
+	return c.retry(ctx, maxAttempts, func() (api.Answer, *Failure) { return c.Accept(ctx, s) })
 }
 
-func (c *Client) settled(ctx context.Context, tries int, send func() (api.Answer, *Failure)) (api.Answer, *Failure) {
-	backoff := firstBackoff
-	doubt := false
-	for try := 1; ; try++ {
+func (c *Client) retry(ctx context.Context, maxAttempts int, send func() (api.Answer, *Failure)) (api.Answer, *Failure) {
+	backoff := minBackoff
+	unknown := false
+	for attempt := 1; ; attempt++ {
 		a, f := send()
 		if f == nil {
 			return a, nil
 		}
-		doubt = doubt || (f.Outcome == state.Unknown && !f.NotSent)
-		if try >= tries || !worthRetry(f) || c.sleep(ctx, max(backoff, f.RetryAfter())) != nil {
-			return a, doubtful(f, doubt)
+		unknown = unknown || (f.Outcome == state.Unknown && !f.NotSent)
+		if attempt >= maxAttempts || !retryable(f) || c.sleep(ctx, max(backoff, f.RetryAfter())) != nil {
+			return a, keepUnknown(f, unknown)
 		}
 		backoff = min(2*backoff, maxBackoff)
 	}
@@ -136,8 +136,8 @@
 // doubtful takes back a "not run" when the fate of an earlier try is open. That
 // try may still sit in a slow entry and be granted after this one was refused,
 // so the caller would take a job for dead that runs a moment later.
-func doubtful(f *Failure, doubt bool) *Failure {
-	if doubt && (f.Outcome == state.NotRun || f.NotSent) {
+func keepUnknown(f *Failure, unknown bool) *Failure {
+	if unknown && (f.Outcome == state.NotRun || f.NotSent) {
 		f.Outcome = state.Unknown
 		f.NotSent = false
 	}
@@ -146,7 +146,7 @@
 
 // worthRetry says whether the same submission may fare better: after a lost
 // reply, or where the entry says when to come back. A failed job stays failed.
-func worthRetry(f *Failure) bool {
+func retryable(f *Failure) bool {
 	if f.Problem == nil {
 		return true
 	}
--- a/transport/metrics/metrics.go
+++ b/transport/metrics/metrics.go
@@ -29,7 +29,7 @@
 func New() *Metrics {
 	m := &Metrics{
 		Registry: prometheus.NewRegistry(),
-		Refusals: byReason("refusals_total", "HTTP requests refused or failed, by reason."),
+		Refusals: newReasonCounter("refusals_total", "HTTP requests refused or failed, by reason."),
 	}
 	m.Registry.MustRegister(
 		collectors.NewGoCollector(),
@@ -39,7 +39,7 @@
 	return m
 }
 
-func byReason(name, help string) *prometheus.CounterVec {
+func newReasonCounter(name, help string) *prometheus.CounterVec {
 	opts := prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}
 	vec := prometheus.NewCounterVec(opts, []string{reasonLabel})
 	for _, reason := range state.Reasons() {
--- a/transport/pause/backoff.go
+++ b/transport/pause/backoff.go
@@ -12,20 +12,20 @@
 // connection, in the time in which others made 250. The zero value is not usable.
 type Backoff struct {
 	// Least is the first pause; each further one is twice the last, up to Most.
-	Least, Most time.Duration
+	Min, Max time.Duration
 
-	next time.Duration
+	delay time.Duration
 }
 
 // Reset begins anew after a success.
-func (b *Backoff) Reset() { b.next = 0 }
+func (b *Backoff) Reset() { b.delay = 0 }
 
 // After returns the pause after a failure that took so long itself: the longer it took the
 // less is left to wait. It is spread by a quarter, so that those that failed together don't
 // come back together.
-func (b *Backoff) After(took time.Duration) time.Duration {
-	b.next = min(max(2*b.next, b.Least), b.Most)
-	wait := b.next - took
+func (b *Backoff) Next(took time.Duration) time.Duration {
+	b.delay = min(max(2*b.delay, b.Min), b.Max)
+	wait := b.delay - took
 	if wait <= 0 {
 		return 0
 	}
@@ -34,5 +34,5 @@
 
 // Wait pauses after a failure that took so long, or until ctx ends.
 func (b *Backoff) Wait(ctx context.Context, took time.Duration) error {
-	return For(ctx, b.After(took))
+	return For(ctx, b.Next(took))
 }
--- a/transport/peer/link.go
+++ b/transport/peer/link.go
@@ -20,25 +20,25 @@
 const (
 	// silenceLimit ends a link on which nothing came for four heartbeats:
 	// a connection can go silent without a reset.
-	silenceLimit = 700 * time.Millisecond
+	receiveTimeout = 700 * time.Millisecond
 	// echoLimit ends a link on which frames come, but none that tells of newer
 	// frames from this side: the way there is cut, and orders are lost. The agent
 	// tells within two heartbeats. It is below the 1.3 s after which the agent
 	// stops the runs of an owner that it does not hear.
-	echoLimit = time.Second
+	echoTimeout = time.Second
 	// redialPause is the pause before a lost link is dialled again.
-	redialPause = 50 * time.Millisecond
+	minRedialDelay = 50 * time.Millisecond
 	// maxRedialPause bounds it for an agent that stays away; one that is back
 	// is found that much later.
-	maxRedialPause = 300 * time.Millisecond
+	maxRedialDelay = 300 * time.Millisecond
 	// dialTimeout bounds the first answer on a new link to an agent that stays away;
 	// firstDialTimeout that of the first try, and each try has twice the last one's. A
 	// host without power drops the opening packet, and the kernel repeats it after a
 	// second only: with one long try, an agent that was back 50 ms after the dial was
 	// missing for another 0.7 to 1 s. An agent answers a dial within 20 ms, on a host
 	// that is five times slower within 100 ms.
-	dialTimeout      = 700 * time.Millisecond
-	firstDialTimeout = 150 * time.Millisecond
+	maxDialTimeout = 700 * time.Millisecond
+	minDialTimeout = 150 * time.Millisecond
 )
 
 // LinkHandler hears of a link's life. Its methods are called one at a time, but for
@@ -49,7 +49,7 @@
 	LinkFrame(node string, session int64, f *corepb.FromAgent)
 	LinkDown(node string, session int64)
 	// LinkComplete adds the process's news to a frame that is about to be sent.
-	LinkComplete(f *corepb.ToAgent)
+	LinkBeforeSend(f *corepb.ToAgent)
 }
 
 // Dialer makes the links of one process. It numbers their sessions in one row: an agent
@@ -79,7 +79,7 @@
 	client corepb.CoreClient       // guarded by mu; nil while down
 	out    *outbox[corepb.ToAgent] // guarded by mu
 	// end ends the present session; nil while the link is down. Guarded by mu.
-	end context.CancelFunc
+	endSession context.CancelFunc
 }
 
 // Dial keeps a link to an agent until Close.
@@ -91,9 +91,9 @@
 }
 
 // Renew ends the present session, if there is one. The link is made anew with the next.
-func (l *Link) Renew() {
+func (l *Link) Reconnect() {
 	l.mu.Lock()
-	end := l.end
+	end := l.endSession
 	l.mu.Unlock()
 	if end != nil {
 		end()
@@ -115,9 +115,9 @@
 }
 
 // SendQuietly is Send for what may wait for the next frame that goes out anyway.
-func (l *Link) SendQuietly(fill func(*corepb.ToAgent)) {
+func (l *Link) SendWithNextFrame(fill func(*corepb.ToAgent)) {
 	if out := l.outbox(); out != nil {
-		out.addQuietly(fill)
+		out.addWithoutWake(fill)
 	}
 }
 
@@ -139,33 +139,33 @@
 
 func (l *Link) run(ctx context.Context) {
 	defer close(l.done)
-	wait, patience := redialPause, firstDialTimeout
+	delay, timeout := minRedialDelay, minDialTimeout
 	for ctx.Err() == nil {
-		up, err := l.runSession(ctx, patience)
-		patience = min(2*patience, dialTimeout)
+		up, err := l.runSession(ctx, timeout)
+		timeout = min(2*timeout, maxDialTimeout)
 		if up {
-			wait, patience = redialPause, firstDialTimeout
+			delay, timeout = minRedialDelay, minDialTimeout
 			klog.InfoS("Lost the link to an agent", "agent", l.Node, "session", l.session, "err", err)
 		}
-		if pause.For(ctx, wait) != nil {
+		if pause.For(ctx, delay) != nil {
 			return
 		}
-		wait = min(2*wait, maxRedialPause)
+		delay = min(2*delay, maxRedialDelay)
 	}
 }
 
 // runSession makes one connection and serves it to its end. It reports whether
 // the agent has answered, which may take as long as patience.
-func (l *Link) runSession(ctx context.Context, patience time.Duration) (bool, error) {
+func (l *Link) runSession(ctx context.Context, timeout time.Duration) (bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	conn, err := grpc.NewClient("passthrough:///"+l.Addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithStaticStreamWindowSize(staticWindow),
-		grpc.WithStaticConnWindowSize(staticWindow),
+		grpc.WithStaticStreamWindowSize(flowControlWindow),
+		grpc.WithStaticConnWindowSize(flowControlWindow),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: redialPause, Multiplier: 1.5, MaxDelay: maxRedialPause},
-			MinConnectTimeout: patience,
+			Backoff:           backoff.Config{BaseDelay: minRedialDelay, Multiplier: 1.5, MaxDelay: maxRedialDelay},
+			MinConnectTimeout: timeout,
 		}))
 	if err != nil {
 		return false, errors.Wrap(err, "link")
@@ -175,7 +175,7 @@
 			klog.V(1).InfoS("A link did not close", "agent", l.Node, "err", err)
 		}
 	}()
-	watchdog := newWatchdog(patience, cancel)
+	watchdog := newWatchdog(timeout, cancel)
 	defer watchdog.stop()
 	client := corepb.NewCoreClient(conn)
 	stream, err := client.Exchange(ctx)
@@ -194,12 +194,12 @@
 func (l *Link) serve(ctx context.Context, cancel context.CancelFunc, w *watchdog, client corepb.CoreClient, stream grpc.BidiStreamingClient[corepb.ToAgent, corepb.FromAgent]) error {
 	l.session = l.dialer.sessions.Add(1)
 	session := l.session
-	w.reset(silenceLimit)
+	w.reset(receiveTimeout)
 	out := newOutbox[corepb.ToAgent]()
 	first := l.dialer.handler.LinkUp(l.Node, session)
 	out.add(func(f *corepb.ToAgent) { f.Claims = first.GetClaims() })
 	l.mu.Lock()
-	l.client, l.out, l.end = client, out, cancel
+	l.client, l.out, l.endSession = client, out, cancel
 	l.mu.Unlock()
 	klog.InfoS("Linked to an agent", "agent", l.Node, "addr", l.Addr, "session", session)
 	var writer conc.WaitGroup
@@ -210,7 +210,7 @@
 	err := l.read(session, w, stream)
 	cancel()
 	l.mu.Lock()
-	l.client, l.out, l.end = nil, nil, nil
+	l.client, l.out, l.endSession = nil, nil, nil
 	l.mu.Unlock()
 	out.close()
 	writer.Wait()
@@ -223,7 +223,7 @@
 	out.pump(ctx, func(f *corepb.ToAgent) bool {
 		n++
 		f.Heartbeat = n
-		l.dialer.handler.LinkComplete(f)
+		l.dialer.handler.LinkBeforeSend(f)
 		// The reader gets the reason of a failure.
 		return stream.Send(f) == nil
 	})
@@ -231,7 +231,7 @@
 
 func (l *Link) read(session int64, w *watchdog, stream grpc.BidiStreamingClient[corepb.ToAgent, corepb.FromAgent]) error {
 	var echoed int64
-	echo := newWatchdog(echoLimit, w.expire)
+	echo := newWatchdog(echoTimeout, w.expire)
 	defer echo.stop()
 	for {
 		f, err := stream.Recv()
@@ -241,10 +241,10 @@
 			}
 			return err
 		}
-		w.reset(silenceLimit)
+		w.reset(receiveTimeout)
 		if f.GetHeartbeat() > echoed {
 			echoed = f.GetHeartbeat()
-			echo.reset(echoLimit)
+			echo.reset(echoTimeout)
 		}
 		l.dialer.handler.LinkFrame(l.Node, session, f)
 	}
--- a/transport/peer/link_test.go
+++ b/transport/peer/link_test.go
@@ -31,8 +31,8 @@
 	defer a.mu.Unlock()
 	a.caller = c
 }
-func (a *agent) CallerGone(*peer.Caller)                                        {}
-func (a *agent) Complete(_ *peer.Caller, _ *corepb.FromAgent)                   {}
+func (a *agent) CallerDown(*peer.Caller)                                        {}
+func (a *agent) BeforeSend(_ *peer.Caller, _ *corepb.FromAgent)                 {}
 func (a *agent) Lookup(int, job.ID) owner.Response                              { return owner.Response{} }
 func (a *agent) Cancel(int, job.ID, func(owner.Response))                       {}
 func (a *agent) Await(int, job.ID, func(owner.Response))                        {}
@@ -72,7 +72,7 @@
 		l := d.Dial(context.Background(), "agent", addr)
 		await(t, l.Up)
 		down := h.down.Load()
-		l.Renew()
+		l.Reconnect()
 		await(t, func() bool { return h.down.Load() > down && l.Up() })
 		l.Close()
 	}
@@ -90,7 +90,7 @@
 	return &corepb.ToAgent{}
 }
 func (h *calls) LinkDown(string, int64)                     { h.down.Add(1) }
-func (h *calls) LinkComplete(*corepb.ToAgent)               {}
+func (h *calls) LinkBeforeSend(*corepb.ToAgent)             {}
 func (h *calls) LinkFrame(string, int64, *corepb.FromAgent) { h.frames.Add(1) }
 
 func start(t *testing.T) (*agent, string) {
@@ -221,7 +221,7 @@
 		await(t, func() bool { return l.Client() != nil })
 		down := h.down.Load()
 		for range settled {
-			l.SendQuietly(func(f *corepb.ToAgent) { f.Settled = append(f.Settled, &corepb.Settled{Shard: shard}) })
+			l.SendWithNextFrame(func(f *corepb.ToAgent) { f.Settled = append(f.Settled, &corepb.Settled{Shard: shard}) })
 		}
 		arrived, frames := 0, 0
 		await(t, func() bool {
--- a/transport/peer/outbox.go
+++ b/transport/peer/outbox.go
@@ -13,12 +13,12 @@
 	// heartbeatEvery is the longest time without a frame on a link that is up.
 	// What goes out anyway is a sign of life too: on a busy link no frame is
 	// sent for it alone.
-	heartbeatEvery = 150 * time.Millisecond
+	heartbeatInterval = 150 * time.Millisecond
 	// staticWindow is how many bytes of one stream, and of one connection, may
 	// be on their way. A frame has some hundred bytes. Given a fixed window gRPC
 	// does not measure the bandwidth, which costs a ping and its answer for
 	// nearly each frame: half of all packets on a link.
-	staticWindow = 1 << 20
+	flowControlWindow = 1 << 20
 )
 
 // outbox gathers what goes into the next frame.
@@ -35,7 +35,7 @@
 
 // add lets fill extend the next frame and has it sent at once.
 func (o *outbox[T]) add(fill func(*T)) {
-	if o.addQuietly(fill) {
+	if o.addWithoutWake(fill) {
 		select {
 		case o.wake <- struct{}{}:
 		default:
@@ -45,7 +45,7 @@
 
 // addQuietly lets fill extend the next frame, whenever that is sent: within
 // heartbeatEvery. It reports whether there will be one.
-func (o *outbox[T]) addQuietly(fill func(*T)) bool {
+func (o *outbox[T]) addWithoutWake(fill func(*T)) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed {
@@ -81,7 +81,7 @@
 // pump sends what is gathered, and an empty frame whenever nothing was sent for
 // heartbeatEvery, until the context ends or send reports false.
 func (o *outbox[T]) pump(ctx context.Context, send func(*T) bool) {
-	beat := time.NewTimer(heartbeatEvery)
+	beat := time.NewTimer(heartbeatInterval)
 	defer beat.Stop()
 	for {
 		select {
@@ -93,6 +93,6 @@
 		if !send(o.take()) {
 			return
 		}
-		beat.Reset(heartbeatEvery)
+		beat.Reset(heartbeatInterval)
 	}
 }
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -23,11 +23,11 @@
 	Ready() bool
 	// Frame takes in a frame. An error ends the link.
 	Frame(c *Caller, f *corepb.ToAgent) error
-	CallerGone(c *Caller)
+	CallerDown(c *Caller)
 	// CallerUp is told of a new link, before its first frame.
 	CallerUp(c *Caller)
 	// Complete adds the agent's news to a frame that is about to be sent.
-	Complete(c *Caller, f *corepb.FromAgent)
+	BeforeSend(c *Caller, f *corepb.FromAgent)
 	// Submit, Lookup, Cancel and Pending are questions to an owner.
 	Submit(shard int, id job.ID, spec job.Spec, p job.Policy, reply func(owner.Response))
 	Lookup(shard int, id job.ID) owner.Response
@@ -45,8 +45,8 @@
 	Orders atomic.Int64
 
 	// heard is the number of the last frame that was taken in.
-	heard atomic.Int64
-	out   *outbox[corepb.FromAgent]
+	lastHeartbeat atomic.Int64
+	out           *outbox[corepb.FromAgent]
 }
 
 // NewCaller returns a caller of that name to which nothing is written yet.
@@ -56,7 +56,7 @@
 func (c *Caller) Send(fill func(*corepb.FromAgent)) { c.out.add(fill) }
 
 // SendQuietly is Send for what may wait for the next frame that goes out anyway.
-func (c *Caller) SendQuietly(fill func(*corepb.FromAgent)) { c.out.addQuietly(fill) }
+func (c *Caller) SendWithNextFrame(fill func(*corepb.FromAgent)) { c.out.addWithoutWake(fill) }
 
 // Server serves an agent's side of links, and questions to owners.
 type Server struct {
@@ -67,7 +67,7 @@
 
 // NewServer returns a server that is not listening yet.
 func NewServer(h AgentHandler) *Server {
-	s := &Server{handler: h, grpc: grpc.NewServer(grpc.StaticStreamWindowSize(staticWindow), grpc.StaticConnWindowSize(staticWindow))}
+	s := &Server{handler: h, grpc: grpc.NewServer(grpc.StaticStreamWindowSize(flowControlWindow), grpc.StaticConnWindowSize(flowControlWindow))}
 	corepb.RegisterCoreServer(s.grpc, s)
 	return s
 }
@@ -92,7 +92,7 @@
 		return err
 	}
 	s.handler.CallerUp(c)
-	defer s.handler.CallerGone(c)
+	defer s.handler.CallerDown(c)
 	ctx, cancel := context.WithCancel(stream.Context())
 	var writer conc.WaitGroup
 	writer.Go(func() { s.write(ctx, stream, c) })
@@ -106,21 +106,21 @@
 		if err := s.handler.Frame(c, f); err != nil {
 			return status.Error(codes.Aborted, err.Error())
 		}
-		c.heard.Store(f.GetHeartbeat())
+		c.lastHeartbeat.Store(f.GetHeartbeat())
 	}
 }
 
 func (s *Server) write(ctx context.Context, stream grpc.BidiStreamingServer[corepb.ToAgent, corepb.FromAgent], c *Caller) {
 	c.out.pump(ctx, func(f *corepb.FromAgent) bool {
-		f.Heartbeat = c.heard.Load()
-		s.handler.Complete(c, f)
+		f.Heartbeat = c.lastHeartbeat.Load()
+		s.handler.BeforeSend(c, f)
 		// The reader of this stream sees its end and says so.
 		return stream.Send(f) == nil
 	})
 }
 
 // await turns a reply into a return value.
-func await(ctx context.Context, ask func(func(owner.Response))) (*corepb.Verdict, error) {
+func awaitReply(ctx context.Context, ask func(func(owner.Response))) (*corepb.Verdict, error) {
 	got := make(chan owner.Response, 1)
 	ask(func(v owner.Response) {
 		select {
@@ -138,7 +138,7 @@
 
 // Submit implements corepb.CoreServer.
 func (s *Server) Submit(ctx context.Context, p *corepb.Submission) (*corepb.Verdict, error) {
-	return await(ctx, func(reply func(owner.Response)) {
+	return awaitReply(ctx, func(reply func(owner.Response)) {
 		s.handler.Submit(int(p.GetShard()), job.ID(p.GetId()), core.SpecFromWire(p.GetSpec()), core.PolicyFromWire(p.GetPolicy()), reply)
 	})
 }
@@ -150,7 +150,7 @@
 
 // Cancel implements corepb.CoreServer.
 func (s *Server) Cancel(ctx context.Context, p *corepb.Question) (*corepb.Verdict, error) {
-	return await(ctx, func(reply func(owner.Response)) {
+	return awaitReply(ctx, func(reply func(owner.Response)) {
 		s.handler.Cancel(int(p.GetShard()), job.ID(p.GetId()), reply)
 	})
 }
@@ -162,7 +162,7 @@
 
 // Await implements corepb.CoreServer.
 func (s *Server) Await(ctx context.Context, p *corepb.Question) (*corepb.Verdict, error) {
-	return await(ctx, func(reply func(owner.Response)) {
+	return awaitReply(ctx, func(reply func(owner.Response)) {
 		s.handler.Await(int(p.GetShard()), job.ID(p.GetId()), reply)
 	})
 }
