--- a/coordination/model/owner_test.go
+++ b/coordination/model/owner_test.go
@@ -173,7 +173,7 @@
 	})
 	if w.chance(0.7) {
 		w.after(w.randUpTo(700*time.Millisecond), func() {
-			l.agent.run(func() { l.agent.worker.Unlinked(w.now, l.owner.name) })
+			l.agent.run(func() { l.agent.worker.LinkLost(w.now, l.owner.name) })
 		})
 	}
 }
@@ -212,7 +212,7 @@
 }
 
 func (o *ownerModel) apply(fx owner.Effects) {
-	for _, node := range fx.Relinks {
+	for _, node := range fx.Reconnects {
 		for _, a := range o.w.agents {
 			if a.name == node {
 				o.cutLink(a, 50*time.Millisecond)
--- a/coordination/owner/owner.go
+++ b/coordination/owner/owner.go
@@ -17,8 +17,8 @@
 
 // Bounds are time limits given by the platform and the settings.
 type Bounds struct {
-	// LostLinkTimeout is how long after the loss of a link the runs behind it may still be at work:
-	// the agent's limit on a silent owner, the longest lease, and a margin.
+	// LostLinkTimeout is how long after the loss of a link the runs behind it may still be active:
+	// the agent's owner timeout, the longest lease, and a margin.
 	LostLinkTimeout time.Duration
 	// TakeoverTimeout is the same for an agent that this owner has never reached. An earlier owner
 	// may have renewed the runs there for some time after the takeover.
@@ -41,10 +41,10 @@
 	Orders  []Addressed[worker.Order]
 	Stops   []Addressed[job.RunID]
 	Settled []Addressed[Settlement]
-	// Relinks has the agents whose links have to be replaced by new ones.
-	Relinks []string
-	Replies []Reply
-	Log     []Decision
+	// Reconnects has the agents whose links have to be replaced by new ones.
+	Reconnects []string
+	Replies    []Reply
+	Log        []Decision
 	// Write is set when there are records to write to the store.
 	Write bool
 }
@@ -62,7 +62,7 @@
 	Void bool
 }
 
-// Decision is an event in the life of a job, to be logged and counted by Kind.
+// Decision is an event in the course of a job, to be logged and counted by Kind.
 type Decision struct {
 	Kind   string
 	Job    job.ID
@@ -117,13 +117,15 @@
 	finished
 )
 
-// task is guarded by Shard.mu.
+// task is the owner's state of one task. Guarded by Shard.mu.
 type task struct {
-	phase  taskPhase
+	phase taskPhase
+	// number is the number of the task's newest run, and node the agent it was ordered at.
 	number int64
 	// waiting is set while the task is in the shard's backlog.
-	waiting    bool
-	node       string
+	waiting bool
+	node    string
+	// failedNode is the agent on which a run of the task last failed or could not start.
 	failedNode string
 	// deferredEnd is the end of an earlier owner's run, kept while a newer run may still be found.
 	deferredEnd *Addressed[worker.RunState]
@@ -140,22 +142,32 @@
 	clearedRun int64
 }
 
-// jobState is guarded by Shard.mu.
+// jobState is the owner's state of one job. Guarded by Shard.mu.
 type jobState struct {
-	rec           *job.Record
-	tasks         []task
-	remaining     int
-	durable       bool
+	// rec is the job's record with all changes, including those that are not in the store yet.
+	rec   *job.Record
+	tasks []task
+	// remaining is the number of tasks that are not done.
+	remaining int
+	// durable is set once the job's record is in the store. A best-effort job needs none and is
+	// durable from the beginning.
+	durable bool
+	// reportedState is the state that clients get. The end of a recorded job is in it only once it
+	// is in the store.
 	reportedState job.State
-	started       bool
-	acceptedAt    time.Duration
-	due           time.Duration
+	// started is set once this owner knows that a task has started, or the job has ended.
+	started    bool
+	acceptedAt time.Duration
+	// due is when the job has to end.
+	due time.Duration
 	// usefulUntil is when an answer stops being of use; zero: never.
 	usefulUntil time.Duration
 	// late is set for a job that can't be in time.
 	late bool
 	// ordered is set once an order for a task was sent.
-	ordered       bool
+	ordered bool
+	// waiters get a reply when the job is recorded or, if it is a best-effort job, when it ends.
+	// cancelWaiters get one when the cancellation is recorded.
 	waiters       []func(Response)
 	cancelWaiters []func(Response)
 	// watchers get a reply when the job's end is recorded.
@@ -187,9 +199,8 @@
 	jobs map[job.ID]*jobState
 	// dirty has the jobs whose records have to be written, in order.
 	dirty []job.ID
-	// patience has, for each queue, how long the clients of its last submissions said that they
-	// would wait.
-	patience map[string]*patienceLog
+	// clientTimeouts has, for each queue, the client timeouts of its last submissions.
+	clientTimeouts map[string]*clientTimeoutLog
 	// waiting has the tasks for which no agent has free capacity.
 	waiting backlog
 	links   map[string]*linkState
@@ -245,13 +256,13 @@
 func New(now time.Duration, id int, epoch int64, b Bounds, f *Fleet, records []*job.Record, mayRun []string) *Shard {
 	s := &Shard{
 		ID: id, Epoch: epoch, bounds: b, fleet: f, openedAt: now,
-		jobs:         make(map[job.ID]*jobState, len(records)),
-		links:        make(map[string]*linkState),
-		patience:     make(map[string]*patienceLog),
-		unreconciled: make(map[string]time.Duration, len(mayRun)),
-		queued:       make(map[string]int),
-		suspects:     make(map[job.TaskID]bool),
-		storedAgents: make(map[string]bool, len(mayRun)),
+		jobs:           make(map[job.ID]*jobState, len(records)),
+		links:          make(map[string]*linkState),
+		clientTimeouts: make(map[string]*clientTimeoutLog),
+		unreconciled:   make(map[string]time.Duration, len(mayRun)),
+		queued:         make(map[string]int),
+		suspects:       make(map[job.TaskID]bool),
+		storedAgents:   make(map[string]bool, len(mayRun)),
 	}
 	for _, node := range mayRun {
 		s.unreconciled[node] = now + b.TakeoverTimeout
--- a/coordination/worker/run.go
+++ b/coordination/worker/run.go
@@ -43,7 +43,8 @@
 	nextStop     time.Duration
 	startedAt    time.Duration
 	end          endState
-	queueSeq     int64
+	// queueSeq numbers the orders as they arrive.
+	queueSeq int64
 	// loss and suspects are reported to the owner of a run that was lost with its server.
 	loss     Loss
 	suspects int
@@ -97,7 +98,7 @@
 			w.endLostLocked(now, fx, id, r, loss, suspects, "instance_gone")
 			continue
 		}
-		if r.order.Once && !r.end.settled {
+		if r.order.AtMostOnce && !r.end.settled {
 			// The owner has not recorded the end yet; see dropLocked.
 			r.end.seq = 0
 			continue
@@ -132,7 +133,7 @@
 func (w *Worker) dropLocked(fx *Effects, id job.RunID, r *run, kind job.EndKind, reason string) {
 	w.reportEndLocked(fx, r, kind, reason)
 	delete(w.runs, id)
-	if r.order.Once && kind == job.Lapsed && r.phase != waiting {
+	if r.order.AtMostOnce && kind == job.Lapsed && r.phase != waiting {
 		r.phase, r.end = ended, endState{kind: kind}
 		w.runs[id] = r
 	}
--- a/coordination/worker/worker.go
+++ b/coordination/worker/worker.go
@@ -73,9 +73,9 @@
 	// Repeat is set when the owner was told that the run is here already. The order then only tells
 	// the agent the demand and the job of the run, and starts nothing.
 	Repeat bool
-	// Once is set if the run's job forbids to repeat a task. The loss of such a run is kept until
-	// the owner has settled it.
-	Once bool
+	// AtMostOnce is set if the tasks of the run's job must not be repeated. The loss of such a run
+	// is kept until the owner has settled it.
+	AtMostOnce bool
 	// Isolation is set if backend servers were lost under earlier runs of the task.
 	Isolation Isolation
 }
@@ -215,10 +215,14 @@
 
 // shardState is what is known about the owner of one shard. Guarded by Worker.mu.
 type shardState struct {
-	owner   string
-	epoch   int64
+	// owner is empty once the owner has released the shard or has timed out.
+	owner string
+	epoch int64
+	// session is the session of the link on which the shard was claimed.
 	session int64
-	heard   time.Duration
+	// heard is when the last message of the owner arrived. After the loss of its link it is set
+	// back, so that the owner times out after Bounds.ReconnectTimeout.
+	heard time.Duration
 }
 
 // Stats are counters of a Worker.
--- a/coordination/worker/worker_test.go
+++ b/coordination/worker/worker_test.go
@@ -172,15 +172,15 @@
 	f.is.Equal(len(fx.Events), 1)
 	f.is.Equal(fx.Events[0].State.End, job.NeverRan)
 	f.is.Equal(fx.Events[0].State.Reason, ReasonNoRoom)
-	patient := f.order(3)
-	patient.Due = f.now + patient.Estimate + time.Minute
-	f.is.Equal(len(f.send(patient).Events), 0)
+	withSlack := f.order(3)
+	withSlack.Due = f.now + withSlack.Estimate + time.Minute
+	f.is.Equal(len(f.send(withSlack).Events), 0)
 	f.is.Equal(f.Load(f.now).Waiting, 1)
 }
 
 // A start gets no answer and is carried out two seconds later. The worker must keep the
 // capacity reserved, and the owner must not start the task elsewhere, until the run is barred
-// here. Capacity freed at the time-out would let the late start overcommit the backend server,
+// here. Capacity freed at the timeout would let the late start overcommit the backend server,
 // and a task started elsewhere would run twice.
 func TestUnansweredStartKeepsItsCapacityUntilItIsBarred(t *testing.T) {
 	f := newFixture(t)
@@ -255,7 +255,7 @@
 
 // The backend server does not answer. Orders that have not been sent to it are returned at once
 // and no more are accepted, since their jobs would wait for the lease to expire.
-func TestSilentServerGivesWaitingOrdersBack(t *testing.T) {
+func TestUnresponsiveServerReturnsWaitingOrders(t *testing.T) {
 	f := newFixture(t)
 	for i := range 3 {
 		f.send(f.order(i))
@@ -307,9 +307,9 @@
 	f.is.Equal(f.Load(f.now).Slowdown, 1.0)
 }
 
-// On a busy host the ends of very short tasks are noticed late. That delay must not count as a
+// On a busy host the ends of very short tasks are detected late. That delay must not count as a
 // slowdown of the server.
-func TestLateNoticeOfShortTasksIsNoSlowness(t *testing.T) {
+func TestLateDetectionOfShortTasksIsNoSlowdown(t *testing.T) {
 	f := newFixture(t)
 	for i := range 8 {
 		o := f.order(i)
@@ -403,7 +403,7 @@
 }
 
 // The host is suspended for longer than an owner may be silent. After the suspension an order
-// that waited in the socket must not start anything: the next owner relies on the silence limit
+// that waited in the socket must not start anything: the next owner relies on the owner timeout
 // and has started the task elsewhere.
 func TestOrderAfterASuspensionIsDropped(t *testing.T) {
 	f := newFixture(t)
@@ -434,7 +434,7 @@
 func TestRunsOfALostLinkAreStoppedSooner(t *testing.T) {
 	f := newFixture(t)
 	f.send(f.order(0))
-	f.Unlinked(f.now, "owner-"+strconv.Itoa(bestEffortShard))
+	f.LinkLost(f.now, "owner-"+strconv.Itoa(bestEffortShard))
 	for range 5 {
 		f.advance(100 * time.Millisecond)
 		f.hold()
@@ -560,8 +560,8 @@
 }
 
 // The end of a recorded job's run waits for the job's record. While the backend server lists
-// that end, holds return at once without news, and the call tells the driver so.
-func TestHoldTellsOfEndsThatWaitForTheirRecord(t *testing.T) {
+// that end, holds return at once without a new end, which HoldCall.UnackedEnds tells the driver.
+func TestHoldReportsEndsThatWaitForTheirRecord(t *testing.T) {
 	f := newFixture(t)
 	f.claim(recordedShard, 1, 1)
 	o := f.order(0)
@@ -639,7 +639,7 @@
 
 // The agent stops as planned. Waiting orders are returned and no new ones are accepted, not
 // even after the backend server's next report. Running tasks go on to their end.
-func TestStoppingAgentTakesNothingNew(t *testing.T) {
+func TestDrainingAgentAcceptsNoOrders(t *testing.T) {
 	f := newFixture(t)
 	for i := range 3 {
 		f.send(f.order(i))
@@ -705,7 +705,7 @@
 	f.report("i-1", 2, false)
 	for i := range 6 {
 		o := f.order(i)
-		o.Once, o.Estimate, o.Demand.CPUMillis = true, time.Millisecond, 100
+		o.AtMostOnce, o.Estimate, o.Demand.CPUMillis = true, time.Millisecond, 100
 		f.send(o)
 	}
 	for range 20 {
@@ -722,18 +722,18 @@
 func TestLossOfARunThatMayNotBeRepeatedIsKept(t *testing.T) {
 	f := newFixture(t)
 	f.claim(1, 5, 1)
-	once, again := f.order(0), f.order(1)
-	once.Shard, once.Epoch, once.Once = 1, 5, true
+	atMostOnce, again := f.order(0), f.order(1)
+	atMostOnce.Shard, atMostOnce.Epoch, atMostOnce.AtMostOnce = 1, 5, true
 	again.Shard, again.Epoch = 1, 5
-	f.send(once)
+	f.send(atMostOnce)
 	f.send(again)
 	f.report("i-2", 1, false)
 	f.is.Equal(len(f.ended()), 2)
 	got := f.claim(1, 6, 1)
 	f.is.Equal(len(got.Runs), 1)
-	f.is.Equal(got.Runs[0].Run, once.Run)
+	f.is.Equal(got.Runs[0].Run, atMostOnce.Run)
 	f.is.Equal(got.Runs[0].End, job.Lapsed)
-	f.Settled(once.Run, false)
+	f.Settled(atMostOnce.Run, false)
 	f.is.Equal(len(f.claim(1, 7, 1).Runs), 0) // the loss is recorded now
 }
 
