--- a/coordination/load/ablation_test.go
+++ b/coordination/load/ablation_test.go
@@ -132,7 +132,7 @@
 // the best and the worst seed, and the share of the jobs that were not served at all.
 func tableCell(s setup, mix []class, share float64, fault func(*world)) string {
 	var served []float64
-	var asked, lost int
+	var submitted, lost int
 	for s.seed = range ablationSeeds {
 		w := newWorld(s)
 		w.runUntil(w.now + time.Second)
@@ -143,7 +143,7 @@
 		w.runUntil(w.now + 4*time.Second)
 		served = append(served, w.servedValue(mix))
 		for _, t := range w.tallies {
-			asked += t.asked
+			submitted += t.submitted
 			lost += t.refused + t.tooLate
 		}
 	}
@@ -151,7 +151,7 @@
 	for _, v := range served {
 		sum += v
 	}
-	return fmt.Sprintf("%.3f ± %.3f, %.1f %%", sum/float64(len(served)), (slices.Max(served)-slices.Min(served))/2, 100*float64(lost)/float64(asked))
+	return fmt.Sprintf("%.3f ± %.3f, %.1f %%", sum/float64(len(served)), (slices.Max(served)-slices.Min(served))/2, 100*float64(lost)/float64(submitted))
 }
 
 const ablationSeeds = 4
--- a/coordination/load/crash_test.go
+++ b/coordination/load/crash_test.go
@@ -72,31 +72,33 @@
 
 // crashResult has the outcomes of load with tasks that crash their backend servers.
 type crashResult struct {
-	served float64
-	late   int
-	asked  int
-	// crashers counts the jobs that crash servers, lost the servers that were lost, and givenUp the
-	// other jobs that were given up. most is the maximum number of starts of a task after it had
-	// crashed three servers.
-	crashers, lost, givenUp, most int
+	served    float64
+	late      int
+	submitted int
+	// crashers counts the jobs that crash servers, serversLost the servers that were lost, and
+	// givenUp the other jobs that were given up. maxStartsAfterThird is the maximum number of
+	// starts of a task after it had crashed three servers.
+	crashers, serversLost, givenUp, maxStartsAfterThird int
 }
 
-func runCrashers(s setup, share, crashersPerSecond float64, days int) crashResult {
+// runCrashers runs load with tasks that crash their backend servers, runs times with different
+// seeds.
+func runCrashers(s setup, share, crashersPerSecond float64, runs int) crashResult {
 	var out crashResult
-	for s.seed = range uint64(days) {
+	for s.seed = range uint64(runs) {
 		w := newWorld(s)
 		w.patient = true
 		w.runUntil(w.now + time.Second)
 		out.crashers += w.submitCrashers(&grownMix[2], crashersPerSecond, crashLoadDuration)
 		w.run(grownMix, share, crashLoadDuration)
 		w.runUntil(w.now + 20*time.Second)
-		out.served += w.servedValue(grownMix) / float64(days)
-		out.lost += w.serversLost
+		out.served += w.servedValue(grownMix) / float64(runs)
+		out.serversLost += w.serversLost
 		out.givenUp += w.wronglyGivenUp
-		out.most = max(out.most, w.maxStartsAfterThird)
+		out.maxStartsAfterThird = max(out.maxStartsAfterThird, w.maxStartsAfterThird)
 		for _, t := range w.tallies {
 			out.late += t.late + t.tooLate + t.refused
-			out.asked += t.asked
+			out.submitted += t.submitted
 		}
 	}
 	return out
@@ -122,8 +124,8 @@
 		t.Skip("prints a table with -load.crashes")
 	}
 	type row struct {
-		policy      string
-		share, perS float64
+		policy                   string
+		share, crashersPerSecond float64
 		crashResult
 	}
 	var rows []*row
@@ -135,7 +137,7 @@
 				if crashersPerSecond == 0 && p.name != crashPolicies[0].name {
 					continue
 				}
-				r := &row{policy: p.name, share: share, perS: crashersPerSecond}
+				r := &row{policy: p.name, share: share, crashersPerSecond: crashersPerSecond}
 				rows = append(rows, r)
 				wg.Go(func() {
 					semaphore <- struct{}{}
@@ -150,15 +152,15 @@
 	wg.Wait()
 	baseline := make(map[float64]*row)
 	for _, r := range rows {
-		if r.perS == 0 {
+		if r.crashersPerSecond == 0 {
 			baseline[r.share] = r
 		}
 	}
 	fmt.Println("| policy | load | crashers per second | served | servers lost per crasher | others late per crasher | others given up | starts after third loss |")
 	for _, r := range rows {
 		n := float64(max(r.crashers, 1))
-		late := float64(r.late) - float64(baseline[r.share].late)*float64(r.asked)/float64(baseline[r.share].asked)
-		fmt.Printf("| %s | %.1f | %.0f | %.3f | %.2f | %.1f | %d | %d |\n", r.policy, r.share, r.perS, r.served, float64(r.lost)/n, late/n, r.givenUp, r.most)
+		late := float64(r.late) - float64(baseline[r.share].late)*float64(r.submitted)/float64(baseline[r.share].submitted)
+		fmt.Printf("| %s | %.1f | %.0f | %.3f | %.2f | %.1f | %d | %d |\n", r.policy, r.share, r.crashersPerSecond, r.served, float64(r.serversLost)/n, late/n, r.givenUp, r.maxStartsAfterThird)
 	}
 }
 
@@ -170,7 +172,7 @@
 	is := is.New(t)
 	d := runCrashers(large, .7, 5, 1)
 	t.Logf("%+v", d)
-	is.True(!checkBounds || d.lost <= 3*d.crashers)
+	is.True(!checkBounds || d.serversLost <= 3*d.crashers)
 	is.Equal(d.givenUp, 0)
-	is.True(d.most <= 2)
+	is.True(d.maxStartsAfterThird <= 2)
 }
--- a/coordination/load/drain_test.go
+++ b/coordination/load/drain_test.go
@@ -66,8 +66,8 @@
 type drainScenario struct {
 	setup
 	share float64
-	// entriesUntold is set if only the agents get the drain.
-	entriesUntold bool
+	// agentsOnly is set if only the agents get the drain.
+	agentsOnly bool
 	// coldFactor is how many times as long tasks take at first when the drain has ended.
 	// coldUnreported is set if the servers don't report that they are cold.
 	coldFactor     float64
@@ -84,14 +84,14 @@
 		w := newWorld(d.setup)
 		w.assignThirds()
 		w.runUntil(w.now + time.Second)
-		w.after(time.Second, func() { w.drain(!d.entriesUntold, "third-1") })
+		w.after(time.Second, func() { w.drain(!d.agentsOnly, "third-1") })
 		w.after(time.Second+settleTime, func() { w.tallies = make(map[string]*tally) })
 		w.after(4*time.Second, func() {
 			during += w.servedValue(mix) / drainSeeds
 			if d.coldFactor > 1 {
 				w.makeCold("third-1", d.coldFactor, !d.coldUnreported)
 			}
-			w.drain(!d.entriesUntold)
+			w.drain(!d.agentsOnly)
 		})
 		w.after(4*time.Second+settleTime, func() { w.tallies = make(map[string]*tally) })
 		w.run(mix, d.share, 6*time.Second)
@@ -136,9 +136,9 @@
 	fleet, loads := drainFleet()
 	for _, share := range loads {
 		during, after := drainScenario{setup: fleet, share: share}.run(grownMix)
-		untold, untoldAfter := drainScenario{setup: fleet, share: share, entriesUntold: true}.run(grownMix)
+		agentsOnly, agentsOnlyAfter := drainScenario{setup: fleet, share: share, agentsOnly: true}.run(grownMix)
 		steady := withoutThird(fleet, grownMix, share)
-		t.Logf("load %.1f: during %.3f (entries not told %.3f, drained from the start %.3f), after %.3f (entries not told %.3f)", share, during, untold, steady, after, untoldAfter)
+		t.Logf("load %.1f: during %.3f (entries not told %.3f, drained from the start %.3f), after %.3f (entries not told %.3f)", share, during, agentsOnly, steady, after, agentsOnlyAfter)
 		is.True(!checkBounds || during > steady-0.03)
 	}
 }
@@ -162,11 +162,11 @@
 // not the entries know of the drain.
 func TestNothingStartsInADrainedThird(t *testing.T) {
 	is := is.New(t)
-	for _, told := range []bool{true, false} {
+	for _, tellEntries := range []bool{true, false} {
 		w := newWorld(small)
 		w.assignThirds()
 		w.runUntil(w.now + time.Second)
-		w.after(time.Second, func() { w.drain(told, "third-1") })
+		w.after(time.Second, func() { w.drain(tellEntries, "third-1") })
 		var before int64
 		w.after(1100*time.Millisecond, func() { before = w.startsIn("third-1") })
 		w.run(grownMix, 0.9, 3*time.Second)
--- a/coordination/load/load_test.go
+++ b/coordination/load/load_test.go
@@ -9,13 +9,13 @@
 	"github.com/shallotstep/shallotstep/coordination/owner"
 )
 
-// pausePerPlacer has the value that agents use in production.
-const pausePerPlacer = 14 * time.Millisecond
+// loadIntervalPerPlacer has the value that package daemon/agent uses.
+const loadIntervalPerPlacer = 14 * time.Millisecond
 
 // small and large have the sizes of a small and a large site.
 var (
-	small = setup{entries: 3, agents: 11, pausePerPlacer: pausePerPlacer, params: owner.DefaultParams()}
-	large = setup{entries: 8, agents: 51, pausePerPlacer: pausePerPlacer, params: owner.DefaultParams(), links: linksPerEntry}
+	small = setup{entries: 3, agents: 11, loadIntervalPerPlacer: loadIntervalPerPlacer, params: owner.DefaultParams()}
+	large = setup{entries: 8, agents: 51, loadIntervalPerPlacer: loadIntervalPerPlacer, params: owner.DefaultParams(), links: linksPerEntry}
 )
 
 // runPerClass runs a mix at a share of the agents' capacity with each seed. It returns the mean
@@ -60,7 +60,7 @@
 	t.Logf("load 1.15: served %.3f, %+v", served, sum)
 	is.True(!checkBounds || served > 0.8) // 0.77 with the fault
 	for _, c := range sum {
-		is.True(!checkBounds || float64(c.tooLate) < 0.01*float64(c.asked)) // 0.10 of the short jobs with the fault
+		is.True(!checkBounds || float64(c.tooLate) < 0.01*float64(c.submitted)) // 0.10 of the short jobs with the fault
 	}
 }
 
--- a/coordination/load/mix_test.go
+++ b/coordination/load/mix_test.go
@@ -86,7 +86,7 @@
 // tally counts the outcomes of jobs: asked is their total, inAim counts those that ended within
 // their objective, late those that ended after it but were still of use, and tooLate those that
 // ended too late to be of use or failed.
-type tally struct{ asked, inAim, late, refused, tooLate int }
+type tally struct{ submitted, inTime, late, refused, tooLate int }
 
 const (
 	// The spreads are standard deviations of the logarithm: of a job's mean work, of its number of
@@ -209,12 +209,12 @@
 	elapsed := w.now - r.submittedAt
 	r.ended = true
 	if r.entry == w.entries[0] {
-		w.busyEntry.asked++
+		w.busyEntry.submitted++
 		if v.Outcome == owner.OK && v.State == job.Completed && elapsed <= r.objective {
-			w.busyEntry.inAim++
+			w.busyEntry.inTime++
 		}
 	}
-	t.asked++
+	t.submitted++
 	switch {
 	case v.Outcome == owner.Refused:
 		t.refused++
@@ -223,7 +223,7 @@
 	case elapsed > r.objective:
 		t.late++
 	default:
-		t.inAim++
+		t.inTime++
 	}
 }
 
@@ -262,15 +262,15 @@
 		if t == nil {
 			continue
 		}
-		gained += c.value * (float64(t.inAim) + 0.2*float64(t.late))
-		possible += c.value * float64(t.asked)
+		gained += c.value * (float64(t.inTime) + 0.2*float64(t.late))
+		possible += c.value * float64(t.submitted)
 	}
 	return gained / possible
 }
 
 func (t tally) plus(o *tally) tally {
-	return tally{t.asked + o.asked, t.inAim + o.inAim, t.late + o.late, t.refused + o.refused, t.tooLate + o.tooLate}
+	return tally{t.submitted + o.submitted, t.inTime + o.inTime, t.late + o.late, t.refused + o.refused, t.tooLate + o.tooLate}
 }
 
 // inTimeShare returns the share of the jobs that ended within their objective.
-func (t tally) inTimeShare() float64 { return float64(t.inAim) / float64(t.asked) }
+func (t tally) inTimeShare() float64 { return float64(t.inTime) / float64(t.submitted) }
--- a/coordination/load/size_test.go
+++ b/coordination/load/size_test.go
@@ -23,7 +23,7 @@
 
 // fleet returns a setup of the given size with default parameters.
 func fleet(entries, agents, links int) setup {
-	return setup{entries: entries, agents: agents, pausePerPlacer: pausePerPlacer, params: owner.DefaultParams(), links: links}
+	return setup{entries: entries, agents: agents, loadIntervalPerPlacer: loadIntervalPerPlacer, params: owner.DefaultParams(), links: links}
 }
 
 // outcomeShares has the share of the value that was served, and the outcomes as shares of all jobs.
@@ -31,23 +31,23 @@
 	served, inTime, late, refused, tooLate float64
 }
 
-// runShares runs a mix at a share of the agents' capacity, days times with different seeds.
-func (s setup) runShares(mix []class, share float64, days int) outcomeShares {
+// runShares runs a mix at a share of the agents' capacity, runs times with different seeds.
+func (s setup) runShares(mix []class, share float64, runs int) outcomeShares {
 	var sum tally
 	var out outcomeShares
-	for s.seed = range uint64(days) {
+	for s.seed = range uint64(runs) {
 		w := newWorld(s)
 		w.runUntil(w.now + time.Second)
 		w.run(mix, share, 3*time.Second)
 		w.runUntil(w.now + 4*time.Second)
-		out.served += w.servedValue(mix) / float64(days)
+		out.served += w.servedValue(mix) / float64(runs)
 		for _, t := range w.tallies {
 			sum = sum.plus(t)
 		}
 	}
-	asked := float64(sum.asked)
-	out.inTime, out.late = float64(sum.inAim)/asked, float64(sum.late)/asked
-	out.refused, out.tooLate = float64(sum.refused)/asked, float64(sum.tooLate)/asked
+	submitted := float64(sum.submitted)
+	out.inTime, out.late = float64(sum.inTime)/submitted, float64(sum.late)/submitted
+	out.refused, out.tooLate = float64(sum.refused)/submitted, float64(sum.tooLate)/submitted
 	return out
 }
 
--- a/coordination/load/world_test.go
+++ b/coordination/load/world_test.go
@@ -69,10 +69,10 @@
 	agents  []*agent
 	jobs    map[job.ID]*request
 	tallies map[string]*tally
-	// pausePerPlacer is multiplied with the number of entries that place work at an agent. The
-	// result is the shortest time between two of the agent's load updates.
-	pausePerPlacer time.Duration
-	params         owner.Params
+	// loadIntervalPerPlacer times the number of entries that place work at an agent is the
+	// shortest time between two of the agent's load updates.
+	loadIntervalPerPlacer time.Duration
+	params                owner.Params
 	// burstFactor is multiplied with the rate of jobs.
 	burstFactor float64
 	// subsets has the agents that each entry links.
@@ -95,10 +95,10 @@
 
 // setup has the size and the parameters of a world.
 type setup struct {
-	entries, agents int
-	pausePerPlacer  time.Duration
-	seed            uint64
-	params          owner.Params
+	entries, agents       int
+	loadIntervalPerPlacer time.Duration
+	seed                  uint64
+	params                owner.Params
 	// links is how many agents each entry links; zero: all.
 	links int
 	// fallbackBuckets gives each entry the bucket that its name hashes to instead of an even part
@@ -108,7 +108,7 @@
 
 func newWorld(s setup) *world {
 	w := &world{
-		now: time.Hour, rand: rand.New(rand.NewPCG(s.seed, 1)), pausePerPlacer: s.pausePerPlacer, params: s.params, burstFactor: 1,
+		now: time.Hour, rand: rand.New(rand.NewPCG(s.seed, 1)), loadIntervalPerPlacer: s.loadIntervalPerPlacer, params: s.params, burstFactor: 1,
 		jobs: make(map[job.ID]*request), tallies: make(map[string]*tally),
 	}
 	for i := range s.agents {
@@ -502,7 +502,7 @@
 	l := a.Load(a.w.now)
 	placers := a.placers()
 	for _, c := range placers {
-		if c.lastSent != loadLevelOf(&l) && a.w.now-c.lastSentAt >= time.Duration(len(placers))*a.w.pausePerPlacer {
+		if c.lastSent != loadLevelOf(&l) && a.w.now-c.lastSentAt >= time.Duration(len(placers))*a.w.loadIntervalPerPlacer {
 			a.sendLoad(c, nil)
 		}
 	}
--- a/coordination/model/drain_test.go
+++ b/coordination/model/drain_test.go
@@ -25,7 +25,7 @@
 
 // drain drains an agent's domain, unless it is drained already, and ends the drain after up to 9 s.
 func (w *world) drain(a *agentModel) {
-	if _, is := w.drains.since[a.name]; is {
+	if _, drained := w.drains.since[a.name]; drained {
 		return
 	}
 	w.trace("- domain %s is drained", a.name)
--- a/daemon/core/links.go
+++ b/daemon/core/links.go
@@ -269,8 +269,8 @@
 	return false
 }
 
-// renew ends the session of the link to an agent, so that the link connects again.
-func (l *LinkSet) renew(node string) {
+// reconnect ends the session of the link to an agent, so that the link connects again.
+func (l *LinkSet) reconnect(node string) {
 	if link := l.Get(node); link != nil {
 		link.Reconnect()
 	}
@@ -284,8 +284,8 @@
 	}
 }
 
-// sendQuietly is like Send, for content that may wait for the next frame that is sent anyway.
-func (l *LinkSet) sendQuietly(node string, fill func(*corepb.ToAgent)) {
+// sendWithNextFrame is like Send, but leaves the content until the next frame that is sent anyway.
+func (l *LinkSet) sendWithNextFrame(node string, fill func(*corepb.ToAgent)) {
 	if link := l.Get(node); link != nil {
 		link.SendWithNextFrame(fill)
 	}
--- a/daemon/core/shard_driver.go
+++ b/daemon/core/shard_driver.go
@@ -56,7 +56,7 @@
 		r.sendSettled(s.Node, settled)
 	}
 	for _, node := range fx.Relinks {
-		r.links.renew(node)
+		r.links.reconnect(node)
 	}
 	for _, reply := range fx.Replies {
 		r.metrics.CountResponse(reply.Response)
@@ -82,7 +82,7 @@
 		r.links.Send(node, add)
 		return
 	}
-	r.links.sendQuietly(node, add)
+	r.links.sendWithNextFrame(node, add)
 }
 
 // logDecision counts and logs a decision. Durations are in milliseconds.
--- a/docs/links_test.go
+++ b/docs/links_test.go
@@ -14,8 +14,8 @@
 
 const root = ".."
 
-// pages are the documents that are checked, as paths from the root.
-func pages(t *testing.T) []string {
+// pagePaths returns the paths of the checked documents, relative to the root.
+func pagePaths(t *testing.T) []string {
 	t.Helper()
 	var out []string
 	for _, pattern := range []string{"*.md", "docs/*.md"} {
@@ -34,8 +34,9 @@
 	return out
 }
 
-// page is a document without its code blocks, whose brackets are no links.
-func page(t *testing.T, name string) string {
+// readPage returns the text of a document without its code blocks, in which brackets are not
+// links.
+func readPage(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, name))
 	if err != nil {
@@ -44,14 +45,14 @@
 	return codeBlock.ReplaceAllString(string(text), "")
 }
 
-// directories are those at the root, sorted. A word that is none of them, such as
-// the reason `internal`, names no path.
-var directories = []string{
+// rootDirectories are the directories at the root, sorted. A word that begins with none of them,
+// such as the reason `internal`, is not taken for a path.
+var rootDirectories = []string{
 	".ci", "cmd", "coordination", "daemon", "deploy", "docs", "examples", "journal", "platform", "protocol", "soak", "state", "tools", "transport",
 }
 
-// alternatives is a pattern that matches each of the names literally.
-func alternatives(names []string) string {
+// alternation returns a pattern that matches each of the names literally.
+func alternation(names []string) string {
 	quoted := make([]string, len(names))
 	for i, n := range names {
 		quoted[i] = regexp.QuoteMeta(n)
@@ -63,16 +64,16 @@
 	codeBlock = regexp.MustCompile("(?ms)^```.*?^```$")
 	link      = regexp.MustCompile(`\]\(([^)\s]+)\)`)
 	heading   = regexp.MustCompile(`(?m)^#+ (.+)$`)
-	code      = regexp.MustCompile("`([^`\n]+)`")
-	// repositoryPath is one word that begins with one of directories, or a file
-	// at the root.
-	repositoryPath = regexp.MustCompile(`^(?:\./)?((?:` + alternatives(directories) + `)(?:/[\w.@-]+)*|[\w-]+\.(?:md|mod|sum|txt))$`)
+	codeSpan  = regexp.MustCompile("`([^`\n]+)`")
+	// repositoryPath matches a word that begins with one of rootDirectories, or the name of a
+	// file at the root.
+	repositoryPath = regexp.MustCompile(`^(?:\./)?((?:` + alternation(rootDirectories) + `)(?:/[\w.@-]+)*|[\w-]+\.(?:md|mod|sum|txt))$`)
 	notInAnchor    = regexp.MustCompile(`[^a-z0-9 _-]`)
 )
 
-// absent are files that a page names though they may be missing.
-var absent = map[string]string{
-	"KNOWN-RED.txt": "stands there only while a test is red",
+// optionalFiles maps files that a page may name although they can be missing to the reason.
+var optionalFiles = map[string]string{
+	"KNOWN-RED.txt": "exists only while it lists a failing test",
 }
 
 // anchors are the ids that a reader of Markdown gives to a page's headings.
@@ -91,8 +92,8 @@
 	// written, and nothing else notices.
 	is := is.New(t)
 	checked := 0
-	for _, name := range pages(t) {
-		for _, l := range link.FindAllStringSubmatch(page(t, name), -1) {
+	for _, name := range pagePaths(t) {
+		for _, l := range link.FindAllStringSubmatch(readPage(t, name), -1) {
 			if strings.Contains(l[1], "://") || strings.HasPrefix(l[1], "mailto:") {
 				continue
 			}
@@ -106,8 +107,8 @@
 				t.Errorf("%s links to %s, which is not there", name, l[1])
 				continue
 			}
-			if anchor != "" && !anchors(page(t, target))[anchor] {
-				t.Errorf("%s links to %s, which has no such heading", name, l[1])
+			if anchor != "" && !anchors(readPage(t, target))[anchor] {
+				t.Errorf("page %s links to %s, but the target has no such heading", name, l[1])
 			}
 		}
 	}
@@ -120,7 +121,7 @@
 	is := is.New(t)
 	tracked, err := exec.Command("git", "-C", root, "ls-tree", "-d", "--name-only", "HEAD").Output()
 	is.NoErr(err)
-	is.Equal(strings.Fields(string(tracked)), directories)
+	is.Equal(strings.Fields(string(tracked)), rootDirectories)
 }
 
 func TestEveryNamedPathIsThere(t *testing.T) {
@@ -128,16 +129,16 @@
 	// leaves the old name in the text, and the reader doubts all the rest.
 	is := is.New(t)
 	checked := 0
-	for _, name := range pages(t) {
-		for _, c := range code.FindAllStringSubmatch(page(t, name), -1) {
+	for _, name := range pagePaths(t) {
+		for _, c := range codeSpan.FindAllStringSubmatch(readPage(t, name), -1) {
 			for _, word := range strings.Fields(c[1]) {
 				m := repositoryPath.FindStringSubmatch(strings.TrimSuffix(word, "/..."))
-				if m == nil || absent[m[1]] != "" {
+				if m == nil || optionalFiles[m[1]] != "" {
 					continue
 				}
 				checked++
-				if !there(name, m[1]) {
-					t.Errorf("%s names %s, which is not there", name, m[1])
+				if !pathExists(name, m[1]) {
+					t.Errorf("page %s names %s, which does not exist", name, m[1])
 				}
 			}
 		}
@@ -145,8 +146,9 @@
 	is.True(checked > 0) // the pattern still finds paths
 }
 
-// there looks for a path from the root, or beside the page that names it.
-func there(page, name string) bool {
+// pathExists reports whether a path that a page names exists, relative to the root or to the
+// page's directory.
+func pathExists(page, name string) bool {
 	for _, p := range []string{name, path.Join(path.Dir(page), name)} {
 		if _, err := os.Stat(filepath.Join(root, p)); err == nil {
 			return true
--- a/soak/relay_test.go
+++ b/soak/relay_test.go
@@ -86,7 +86,7 @@
 
 // copy forwards one direction of a connection. dropMode is the mode that drops only this direction.
 func (r *relay) copy(to, from net.Conn, dropMode relayMode) {
-	defer r.drop(to, from)
+	defer r.closeConns(to, from)
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
@@ -108,7 +108,8 @@
 	}
 }
 
-func (r *relay) drop(conns ...net.Conn) {
+// closeConns closes connections and removes them from conns.
+func (r *relay) closeConns(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
@@ -133,10 +134,10 @@
 	clear(r.conns)
 }
 
-func (r *relay) setMode(w relayMode, delay time.Duration) {
+func (r *relay) setMode(mode relayMode, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.mode, r.delay = w, delay
+	r.mode, r.delay = mode, delay
 }
 
 // redirect sets the target of new connections, and resets the present ones.
--- a/tools/protogen/main.go
+++ b/tools/protogen/main.go
@@ -34,13 +34,14 @@
 
 func run(source, parameter, dir string) error {
 	if source != "" {
-		return request(source, parameter)
+		return writeRequest(source, parameter)
 	}
-	return write(dir)
+	return writeFiles(dir)
 }
 
-// request compiles a file, with its comments, which the plugins copy.
-func request(source, parameter string) error {
+// writeRequest compiles a .proto file and writes the request for it to standard output. It
+// includes the comments of the file, because plugins copy them to their output.
+func writeRequest(source, parameter string) error {
 	c := protocompile.Compiler{
 		Resolver:       &protocompile.SourceResolver{},
 		SourceInfoMode: protocompile.SourceInfoStandard,
@@ -62,8 +63,9 @@
 	return err
 }
 
-// write unpacks a plugin's answer.
-func write(dir string) error {
+// writeFiles reads a plugin's response from standard input and writes its files into dir. It
+// returns the error in the response, if there is one.
+func writeFiles(dir string) error {
 	in, err := io.ReadAll(os.Stdin)
 	if err != nil {
 		return err
--- a/transport/cli/measure_test.go
+++ b/transport/cli/measure_test.go
@@ -59,7 +59,7 @@
 func TestMeasureExitCodeReportsFailedChecks(t *testing.T) {
 	is := is.New(t)
 	report := filepath.Join(t.TempDir(), "report.json")
-	for name, bend := range map[string]func([]json.RawMessage) []json.RawMessage{
+	for name, alter := range map[string]func([]json.RawMessage) []json.RawMessage{
 		"":        func(r []json.RawMessage) []json.RawMessage { return r },
 		"whole":   func(r []json.RawMessage) []json.RawMessage { return r[1:] },
 		"own":     func(r []json.RawMessage) []json.RawMessage { r[0], r[1] = r[1], r[0]; return r },
@@ -67,7 +67,7 @@
 		"whole  ": func(r []json.RawMessage) []json.RawMessage { return append(r, r[0]) },
 	} {
 		cli := newTestCLI(t, &fakeEntry{})
-		cli.url = echoEntry(t, bend) + "," + echoEntry(t, bend)
+		cli.url = echoEntry(t, alter) + "," + echoEntry(t, alter)
 		plan := cli.file("plan.json", shortPlan)
 		code := cli.run("measure", "-plan", plan, "-report", report)
 		if name == "" {
--- a/transport/peer/link_test.go
+++ b/transport/peer/link_test.go
@@ -134,18 +134,18 @@
 
 // relay forwards connections to an agent. It can drop what the owner sends while it still
 // forwards what the agent sends.
-type forward struct {
+type relay struct {
 	drop atomic.Bool
 	addr string
 }
 
-func startRelay(t *testing.T, to string) *forward {
+func startRelay(t *testing.T, to string) *relay {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &forward{addr: l.Addr().String()}
+	c := &relay{addr: l.Addr().String()}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -153,13 +153,13 @@
 			if err != nil {
 				return // the test has closed the listener
 			}
-			go c.relay(in, to)
+			go c.forward(in, to)
 		}
 	}()
 	return c
 }
 
-func (c *forward) relay(in net.Conn, to string) {
+func (c *relay) forward(in net.Conn, to string) {
 	defer in.Close()
 	out, err := net.Dial("tcp", to)
 	if err != nil {
