--- a/tools/protogen/main.go
+++ b/tools/protogen/main.go
@@ -1,6 +1,6 @@
-// Command protogen stands for protoc where only the go command is at hand. It
-// compiles a file of messages into the request that protoc's plugins read, and
-// writes the files of their answers.
+// Command protogen replaces protoc where only the go command is available. It
+// compiles a .proto file into the CodeGeneratorRequest that protoc plugins read,
+// and writes the files in a plugin's CodeGeneratorResponse.
 //
 //	protogen -request core.proto -parameter paths=source_relative | protoc-gen-go | protogen -write corepb
 package main
@@ -21,9 +21,9 @@
 )
 
 func main() {
-	source := flag.String("request", "", "write the request for this `file` to standard output")
-	parameter := flag.String("parameter", "", "the plugin's parameter")
-	dir := flag.String("write", "", "write the files of the answer on standard input into this `directory`")
+	source := flag.String("request", "", "write the CodeGeneratorRequest for this .proto `file` to standard output")
+	parameter := flag.String("parameter", "", "parameter for the plugin, such as paths=source_relative")
+	dir := flag.String("write", "", "read a CodeGeneratorResponse from standard input and write its files into this `directory`")
 	flag.Parse()
 	err := run(*source, *parameter, *dir)
 	if err != nil {
@@ -75,7 +75,7 @@
 		return err
 	}
 	if resp.Error != nil {
-		return fmt.Errorf("plugin: %s", resp.GetError())
+		return fmt.Errorf("the plugin failed: %s", resp.GetError())
 	}
 	for _, f := range resp.GetFile() {
 		if err := os.WriteFile(filepath.Join(dir, f.GetName()), []byte(f.GetContent()), 0o644); err != nil {
