--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -12,6 +12,7 @@
 	"github.com/shallotstep/shallotstep/state"
 )
 
+// section returns the text of a file from after a heading to the next heading of level two.
 func section(t *testing.T, file, heading string) string {
 	t.Helper()
 	text, err := os.ReadFile(file)
@@ -26,12 +27,13 @@
 	return body
 }
 
+// reasonRow matches a row of the table of reasons: the reason and three more cells.
 var reasonRow = regexp.MustCompile("(?m)^\\| `([a-z_]+)` \\| ([^|]+) \\| ([^|]+) \\| ([^|]+) \\|$")
 
 func TestEveryReasonHasItsEntryAndNoOther(t *testing.T) {
-	// The person on call looks up the reason of a refusal. A reason without an
-	// entry, or an entry for a reason that the code no longer gives, leaves
-	// them alone with it.
+	// Operators look up the reason of a refusal in OPERATIONS.md. Guards against a
+	// reason without a row in its table, and a row for a reason that the code no
+	// longer returns.
 	is := is.New(t)
 	var documented, known []string
 	for _, row := range reasonRow.FindAllStringSubmatch(section(t, "OPERATIONS.md", "## Reasons"), -1) {
@@ -42,5 +44,5 @@
 	}
 	slices.Sort(documented)
 	slices.Sort(known)
-	is.Equal(documented, known) // each once, with meaning, where to look and what to do
+	is.Equal(documented, known) // each reason has one row, with its meaning, where to look and what to do
 }
--- a/docs/links_test.go
+++ b/docs/links_test.go
@@ -76,7 +76,7 @@
 	"KNOWN-RED.txt": "exists only while it lists a failing test",
 }
 
-// anchors are the ids that a reader of Markdown gives to a page's headings.
+// anchors returns the anchor ids that a Markdown renderer generates for the headings of a page.
 func anchors(text string) map[string]bool {
 	out := make(map[string]bool)
 	for _, h := range heading.FindAllStringSubmatch(text, -1) {
@@ -87,9 +87,8 @@
 }
 
 func TestEveryRelativeLinkLeadsSomewhere(t *testing.T) {
-	// A reader follows a link, above all the person on call at night, and finds
-	// nothing: the file was moved or a heading was reworded after the link was
-	// written, and nothing else notices.
+	// Guards against links that are broken when a file is moved or a heading is
+	// reworded. No other check notices them.
 	is := is.New(t)
 	checked := 0
 	for _, name := range pagePaths(t) {
@@ -104,7 +103,7 @@
 				target = path.Join(path.Dir(name), file)
 			}
 			if _, err := os.Stat(filepath.Join(root, target)); err != nil {
-				t.Errorf("%s links to %s, which is not there", name, l[1])
+				t.Errorf("page %s links to %s, which does not exist", name, l[1])
 				continue
 			}
 			if anchor != "" && !anchors(readPage(t, target))[anchor] {
@@ -116,8 +115,8 @@
 }
 
 func TestDirectoriesAreThoseAtTheRoot(t *testing.T) {
-	// A package was renamed or added, and the paths that pages name under it are
-	// no longer looked up: the test below would pass over them in silence.
+	// If a directory is renamed or added without a change of rootDirectories,
+	// TestEveryNamedPathIsThere ignores the paths under it.
 	is := is.New(t)
 	tracked, err := exec.Command("git", "-C", root, "ls-tree", "-d", "--name-only", "HEAD").Output()
 	is.NoErr(err)
@@ -125,8 +124,8 @@
 }
 
 func TestEveryNamedPathIsThere(t *testing.T) {
-	// A newcomer looks for the file that a page names. A package that was renamed
-	// leaves the old name in the text, and the reader doubts all the rest.
+	// Guards against pages that still name a file or package by its path before it
+	// was moved or renamed.
 	is := is.New(t)
 	checked := 0
 	for _, name := range pagePaths(t) {
