--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,10 +1,10 @@
-// Package examples embeds the example deployments, so that -dev works from any
-// folder.
+// Package examples embeds the example deployments, so that shallotstepd
+// -dev works in any working directory.
 package examples
 
 import _ "embed"
 
-// HaneulDeclaration is the declaration that -dev applies.
+// HaneulDeclaration is the declaration that shallotstepd -dev applies.
 //
 //go:embed haneul/declaration.json
 var HaneulDeclaration []byte
