--- a/coordination/load/crash_test.go
+++ b/coordination/load/crash_test.go
@@ -70,7 +70,9 @@
 	return count
 }
 
-// crashResult has the outcomes of load with tasks that crash their backend servers.
+// crashResult has the outcomes of load with tasks that crash their backend servers. served, late
+// and submitted don't include the jobs that crash servers; late includes the jobs that were refused
+// or ended too late to be of use.
 type crashResult struct {
 	served    float64
 	late      int
--- a/coordination/load/drain_test.go
+++ b/coordination/load/drain_test.go
@@ -130,7 +130,8 @@
 }
 
 // TestDrainCostsTheRoomThatIsGone guards against a drain that costs clients more than the capacity
-// that is drained. A third of the workers is drained for three seconds.
+// that is drained: the share served must be about that of a system in which the same third is
+// drained from the start. A third of the workers is drained for three seconds.
 func TestDrainCostsTheRoomThatIsGone(t *testing.T) {
 	is := is.New(t)
 	fleet, loads := drainFleet()
@@ -144,7 +145,7 @@
 }
 
 // TestDomainThatComesBackColdIsNotOverrun guards against overload of backend servers that return
-// cold all at once: if they get their full part of the work, all of it is late.
+// cold all at once: if they get the same share of the work as warm ones, all of it is late.
 func TestDomainThatComesBackColdIsNotOverrun(t *testing.T) {
 	is := is.New(t)
 	fleet, loads := drainFleet()
--- a/coordination/load/mix_test.go
+++ b/coordination/load/mix_test.go
@@ -83,7 +83,7 @@
 	startsAtThirdLoss int
 }
 
-// tally counts the outcomes of jobs: asked is their total, inAim counts those that ended within
+// tally counts the outcomes of jobs: submitted is their total, inTime counts those that ended within
 // their objective, late those that ended after it but were still of use, and tooLate those that
 // ended too late to be of use or failed.
 type tally struct{ submitted, inTime, late, refused, tooLate int }
--- a/coordination/load/race_off_test.go
+++ b/coordination/load/race_off_test.go
@@ -2,8 +2,8 @@
 
 package load
 
-// seeds is the number of simulated days behind each figure. checkBounds says whether the tests
-// check the figures against their bounds.
+// seeds is the number of seeds over which each result is averaged. checkBounds says whether the
+// tests check the results against their bounds.
 const (
 	seeds       = 3
 	checkBounds = true
--- a/coordination/load/race_on_test.go
+++ b/coordination/load/race_on_test.go
@@ -2,9 +2,9 @@
 
 package load
 
-// With the race detector a simulated day takes ten times as long. One day is then run to find data
-// races only: a single day is too little to check the bounds, which is done without the race
-// detector.
+// With the race detector a simulation takes ten times as long. Only one seed is then run, to find
+// data races: the result of a single seed varies too much to check the bounds, which is done
+// without the race detector.
 const (
 	seeds       = 1
 	checkBounds = false
--- a/coordination/load/size_test.go
+++ b/coordination/load/size_test.go
@@ -112,5 +112,5 @@
 	}
 }
 
-// sizeSeeds is the number of simulated days behind the figures of a size.
+// sizeSeeds is the number of seeds over which the results for each size are averaged.
 const sizeSeeds = 2
--- a/coordination/load/uneven_test.go
+++ b/coordination/load/uneven_test.go
@@ -27,7 +27,7 @@
 	return busyEntry.inTimeShare(), total.inTimeShare(), served
 }
 
-// unevenSeeds is the number of simulated days behind the figures of a load.
+// unevenSeeds is the number of seeds over which the results for each load are averaged.
 const unevenSeeds = seeds
 
 // TestBusyEntryServesAsWellAsTheOthers guards against an entry that overestimates the orders of the
--- a/coordination/load/world_test.go
+++ b/coordination/load/world_test.go
@@ -497,7 +497,7 @@
 }
 
 // sendChangedLoads sends the load to the entries that place work here, if its level has changed and
-// the pause since the last update has passed.
+// the load interval has passed since the last update.
 func (a *agent) sendChangedLoads() {
 	l := a.Load(a.w.now)
 	placers := a.placers()
--- a/coordination/model/world_test.go
+++ b/coordination/model/world_test.go
@@ -235,7 +235,7 @@
 		w.newestOwner().kill()
 		w.after(w.randUpTo(2*time.Second), w.takeOver)
 	case 1:
-		// The group replaces the owner, which doesn't know.
+		// The group assigns the shard to another owner without notice to the present one.
 		w.takeOver()
 	case 2:
 		w.newestOwner().freeze(w.randUpTo(4 * time.Second))
