--- a/soak/relay_test.go
+++ b/soak/relay_test.go
@@ -75,6 +75,7 @@
 	r.copy(in, out, dropFromTarget)
 }
 
+// add registers connections, so that reset closes them. It reports whether the relay is still open.
 func (r *relay) add(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -49,7 +49,8 @@
 // TestSoak runs a system of real processes with clients that keep their connections and submit
 // jobs. Meanwhile processes are killed, stopped, frozen and restarted, connections are cut, delayed
 // and reset, and the store and the backend servers fail, several faults at a time. The responses
-// that clients got must be true and must stay true.
+// that clients got must agree with what the backend servers saw, and no later response may
+// contradict them.
 func TestSoak(t *testing.T) {
 	all := regressions
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
