--- a/transport/httpclient/retry.go
+++ b/transport/httpclient/retry.go
@@ -86,6 +86,7 @@
 	return raceState{result: raceUnresolved}
 }
 
+// successor returns the declaration that replaced version base, if the history has it.
 func successor(entries []api.HistoryEntry, base state.Version) (api.HistoryEntry, bool) {
 	for _, e := range entries {
 		if e.Base == base {
--- a/transport/loadgen/mix.go
+++ b/transport/loadgen/mix.go
@@ -32,7 +32,7 @@
 // fixedMixName is the name of the mix whose tasks all have the same run time.
 const fixedMixName = "fixed"
 
-// The mixes of the users. Most tasks take 50 ms to 1 s, a few take several
+// The workloads of two operators. Most tasks take 50 ms to 1 s, a few take several
 // seconds.
 var (
 	haneulMix = Mix{Name: "haneul", Service: "bench-desk", Kinds: []TaskKind{
--- a/transport/peer/link.go
+++ b/transport/peer/link.go
@@ -47,7 +47,9 @@
 type LinkHandler interface {
 	// LinkUp returns the claims to send in the first frame of a new session.
 	LinkUp(node string, session int64) *corepb.ToAgent
+	// LinkFrame handles a received frame.
 	LinkFrame(node string, session int64, f *corepb.FromAgent)
+	// LinkDown is called when a session has ended.
 	LinkDown(node string, session int64)
 	// LinkBeforeSend adds the process's current state, such as drains, to a frame that
 	// is about to be sent.
--- a/transport/peer/server.go
+++ b/transport/peer/server.go
@@ -24,6 +24,7 @@
 	Ready() bool
 	// Frame handles a received frame. An error closes the link.
 	Frame(c *Caller, f *corepb.ToAgent) error
+	// CallerDown is called when a link has ended.
 	CallerDown(c *Caller)
 	// CallerUp is called for a new link, before its first frame.
 	CallerUp(c *Caller)
