--- a/docs/links_test.go
+++ b/docs/links_test.go
@@ -14,8 +14,8 @@
 
 const root = ".."
 
-// pages are the documents that are checked, as paths from the root.
-func pages(t *testing.T) []string {
+// pagePaths returns the paths of the checked documents, relative to the root.
+func pagePaths(t *testing.T) []string {
 	t.Helper()
 	var out []string
 	for _, pattern := range []string{"*.md", "docs/*.md"} {
@@ -34,8 +34,9 @@
 	return out
 }
 
-// page is a document without its code blocks, whose brackets are no links.
-func page(t *testing.T, name string) string {
+// readPage returns the text of a document without its code blocks, in which brackets are not
+// links.
+func readPage(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, name))
 	if err != nil {
@@ -44,14 +45,14 @@
 	return codeBlock.ReplaceAllString(string(text), "")
 }
 
-// directories are those at the root, sorted. A word that is none of them, such as
-// the reason `internal`, names no path.
-var directories = []string{
+// rootDirectories are the directories at the root, sorted. A word that begins with none of them,
+// such as the reason `internal`, is not taken for a path.
+var rootDirectories = []string{
 	".ci", "cmd", "coordination", "daemon", "deploy", "docs", "examples", "journal", "platform", "protocol", "soak", "state", "tools", "transport",
 }
 
-// alternatives is a pattern that matches each of the names literally.
-func alternatives(names []string) string {
+// alternation returns a pattern that matches each of the names literally.
+func alternation(names []string) string {
 	quoted := make([]string, len(names))
 	for i, n := range names {
 		quoted[i] = regexp.QuoteMeta(n)
@@ -63,19 +64,19 @@
 	codeBlock = regexp.MustCompile("(?ms)^```.*?^```$")
 	link      = regexp.MustCompile(`\]\(([^)\s]+)\)`)
 	heading   = regexp.MustCompile(`(?m)^#+ (.+)$`)
-	code      = regexp.MustCompile("`([^`\n]+)`")
-	// repositoryPath is one word that begins with one of directories, or a file
-	// at the root.
-	repositoryPath = regexp.MustCompile(`^(?:\./)?((?:` + alternatives(directories) + `)(?:/[\w.@-]+)*|[\w-]+\.(?:md|mod|sum|txt))$`)
+	codeSpan  = regexp.MustCompile("`([^`\n]+)`")
+	// repositoryPath matches a word that begins with one of rootDirectories, or the name of a
+	// file at the root.
+	repositoryPath = regexp.MustCompile(`^(?:\./)?((?:` + alternation(rootDirectories) + `)(?:/[\w.@-]+)*|[\w-]+\.(?:md|mod|sum|txt))$`)
 	notInAnchor    = regexp.MustCompile(`[^a-z0-9 _-]`)
 )
 
-// absent are files that a page names though they may be missing.
-var absent = map[string]string{
-	"KNOWN-RED.txt": "stands there only while a test is red",
+// optionalFiles maps files that a page may name although they can be missing to the reason.
+var optionalFiles = map[string]string{
+	"KNOWN-RED.txt": "exists only while it lists a failing test",
 }
 
-// anchors are the ids that a reader of Markdown gives to a page's headings.
+// anchors returns the anchor ids that a Markdown renderer generates for the headings of a page.
 func anchors(text string) map[string]bool {
 	out := make(map[string]bool)
 	for _, h := range heading.FindAllStringSubmatch(text, -1) {
@@ -86,13 +87,12 @@
 }
 
 func TestEveryRelativeLinkLeadsSomewhere(t *testing.T) {
-	// A reader follows a link, above all the person on call at night, and finds
-	// nothing: the file was moved or a heading was reworded after the link was
-	// written, and nothing else notices.
+	// Guards against links that are broken when a file is moved or a heading is
+	// reworded. No other check notices them.
 	is := is.New(t)
 	checked := 0
-	for _, name := range pages(t) {
-		for _, l := range link.FindAllStringSubmatch(page(t, name), -1) {
+	for _, name := range pagePaths(t) {
+		for _, l := range link.FindAllStringSubmatch(readPage(t, name), -1) {
 			if strings.Contains(l[1], "://") || strings.HasPrefix(l[1], "mailto:") {
 				continue
 			}
@@ -103,11 +103,11 @@
 				target = path.Join(path.Dir(name), file)
 			}
 			if _, err := os.Stat(filepath.Join(root, target)); err != nil {
-				t.Errorf("%s links to %s, which is not there", name, l[1])
+				t.Errorf("page %s links to %s, which does not exist", name, l[1])
 				continue
 			}
-			if anchor != "" && !anchors(page(t, target))[anchor] {
-				t.Errorf("%s links to %s, which has no such heading", name, l[1])
+			if anchor != "" && !anchors(readPage(t, target))[anchor] {
+				t.Errorf("page %s links to %s, but the target has no such heading", name, l[1])
 			}
 		}
 	}
@@ -115,29 +115,29 @@
 }
 
 func TestDirectoriesAreThoseAtTheRoot(t *testing.T) {
-	// A package was renamed or added, and the paths that pages name under it are
-	// no longer looked up: the test below would pass over them in silence.
+	// If a directory is renamed or added without a change of rootDirectories,
+	// TestEveryNamedPathIsThere ignores the paths under it.
 	is := is.New(t)
 	tracked, err := exec.Command("git", "-C", root, "ls-tree", "-d", "--name-only", "HEAD").Output()
 	is.NoErr(err)
-	is.Equal(strings.Fields(string(tracked)), directories)
+	is.Equal(strings.Fields(string(tracked)), rootDirectories)
 }
 
 func TestEveryNamedPathIsThere(t *testing.T) {
-	// A newcomer looks for the file that a page names. A package that was renamed
-	// leaves the old name in the text, and the reader doubts all the rest.
+	// Guards against pages that still name a file or package by its path before it
+	// was moved or renamed.
 	is := is.New(t)
 	checked := 0
-	for _, name := range pages(t) {
-		for _, c := range code.FindAllStringSubmatch(page(t, name), -1) {
+	for _, name := range pagePaths(t) {
+		for _, c := range codeSpan.FindAllStringSubmatch(readPage(t, name), -1) {
 			for _, word := range strings.Fields(c[1]) {
 				m := repositoryPath.FindStringSubmatch(strings.TrimSuffix(word, "/..."))
-				if m == nil || absent[m[1]] != "" {
+				if m == nil || optionalFiles[m[1]] != "" {
 					continue
 				}
 				checked++
-				if !there(name, m[1]) {
-					t.Errorf("%s names %s, which is not there", name, m[1])
+				if !pathExists(name, m[1]) {
+					t.Errorf("page %s names %s, which does not exist", name, m[1])
 				}
 			}
 		}
@@ -145,8 +145,9 @@
 	is.True(checked > 0) // the pattern still finds paths
 }
 
-// there looks for a path from the root, or beside the page that names it.
-func there(page, name string) bool {
+// pathExists reports whether a path that a page names exists, relative to the root or to the
+// page's directory.
+func pathExists(page, name string) bool {
 	for _, p := range []string{name, path.Join(path.Dir(page), name)} {
 		if _, err := os.Stat(filepath.Join(root, p)); err == nil {
 			return true
